--- a/src/activity/activity_test.ts
+++ b/src/activity/activity_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { makeVmIdentity } from "../gateway/fixture.ts";
-import { arrange } from "../members/hubs.ts";
+import { buildTopology } from "../members/hubs.ts";
 import type { VmIdentity } from "../members/types.ts";
 import { createObjectMemory } from "../placement/memory.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
@@ -48,14 +48,16 @@
       self: identity,
       clock,
       log: createSilentLog(),
-      memory,
+      cacheModel: memory,
       running,
       listServing: () =>
         identities.filter(({ id }) =>
           id !== identity.id && vms.get(id)?.isUp !== false
         ),
       getTopology: () =>
-        arrange(identities.filter(({ id }) => vms.get(id)?.isUp !== false)),
+        buildTopology(
+          identities.filter(({ id }) => vms.get(id)?.isUp !== false),
+        ),
       getOwnRunning: () => toPairs(own),
       getRegion: (key) => SERVER_REGIONS.get(key),
       send(vmIds, scope, activity) {
@@ -79,7 +81,8 @@
   }
   return {
     get: (id: string) => vms.get(id)!,
-    getRelayId: (region: string) => arrange(identities).hubs.get(region)![0].id,
+    getRelayId: (region: string) =>
+      buildTopology(identities).hubs.get(region)![0].id,
     countMessages: () => messages,
   };
 }
@@ -206,9 +209,9 @@
   clock.advance(1_000);
   const { identity } = fleet.get(started);
   const before = fleet.countMessages();
-  fleet.get(first).sharing.welcome(identity);
+  fleet.get(first).sharing.sendHistory(identity);
   assert.is(fleet.countMessages(), before);
-  fleet.get(relayId).sharing.welcome(identity);
+  fleet.get(relayId).sharing.sendHistory(identity);
   assert.is(fleet.countMessages(), before + 1);
 });
 
--- a/src/activity/relay.ts
+++ b/src/activity/relay.ts
@@ -20,7 +20,7 @@
   /** Takes in what another region did. */
   addOther(region: string, activity: Activity): void;
   /** @returns What VMs of the own region have to know, since the last call. */
-  takeForMembers(): Activity;
+  takeForOwnRegion(): Activity;
   /**
    * @param region Another region.
    * @returns What that region has to know, since the last call; undefined where
@@ -30,7 +30,7 @@
 }
 
 /** What a relay needs. */
-export interface RelayParts {
+export interface RelayOptions {
   clock: Clock;
   ownRegion: string;
   /** Requests of the VMs of the own region, by VM. */
@@ -42,7 +42,7 @@
 }
 
 /** Regions that sent nothing to each other for this long stop telling. */
-const RELATED_MS = 10_000;
+const RELATION_TTL_MS = 10_000;
 
 interface Outbox {
   asked: ObjectPairs;
@@ -53,35 +53,36 @@
  * @param parts What the relay needs.
  * @returns A relay that was told nothing.
  */
-export function createRelay(parts: RelayParts): Relay {
+export function createRelay(parts: RelayOptions): Relay {
   const { clock, ownRegion, ownRunning, otherRunning, getRegion } = parts;
-  let forMembers = makeOutbox();
-  const forRegions = new Map<string, Outbox>();
+  let ownRegionOutbox = makeOutbox();
+  const outboxByRegion = new Map<string, Outbox>();
   /** When VMs here last sent to a region, and that region's VMs to this one. */
-  const usedAtMs = new Map<string, number>();
-  const userAtMs = new Map<string, number>();
+  const outboundAtMs = new Map<string, number>();
+  const inboundAtMs = new Map<string, number>();
 
   function isRecent(times: Map<string, number>, region: string): boolean {
-    return clock.monotonicMs() - (times.get(region) ?? -Infinity) < RELATED_MS;
+    return clock.monotonicMs() - (times.get(region) ?? -Infinity) <
+      RELATION_TTL_MS;
   }
 
-  function isWantedHere(serverKey: number): boolean {
+  function isRelevantHere(serverKey: number): boolean {
     const region = getRegion(serverKey);
     return region === ownRegion ||
-      region !== undefined && isRecent(usedAtMs, region);
+      region !== undefined && isRecent(outboundAtMs, region);
   }
 
-  function isWantedBy(region: string, serverKey: number): boolean {
+  function isRelevantTo(region: string, serverKey: number): boolean {
     const serverRegion = getRegion(serverKey);
     return serverRegion === region ||
-      serverRegion === ownRegion && isRecent(userAtMs, region);
+      serverRegion === ownRegion && isRecent(inboundAtMs, region);
   }
 
   function getOutbox(region: string): Outbox {
-    const known = forRegions.get(region);
+    const known = outboxByRegion.get(region);
     if (known !== undefined) return known;
     const outbox = makeOutbox();
-    forRegions.set(region, outbox);
+    outboxByRegion.set(region, outbox);
     return outbox;
   }
 
@@ -90,12 +91,12 @@
     forEachPair(activity.asked, (serverKey) => {
       const region = getRegion(serverKey);
       if (region === undefined || region === ownRegion) return;
-      usedAtMs.set(region, nowMs);
+      outboundAtMs.set(region, nowMs);
       getOutbox(region);
     });
-    copy(activity, forMembers, () => true);
-    for (const [region, outbox] of forRegions) {
-      copy(activity, outbox, (key) => isWantedBy(region, key));
+    copy(activity, ownRegionOutbox, () => true);
+    for (const [region, outbox] of outboxByRegion) {
+      copy(activity, outbox, (key) => isRelevantTo(region, key));
     }
   }
 
@@ -103,37 +104,37 @@
     const nowMs = clock.monotonicMs();
     forEachPair(activity.asked, (serverKey) => {
       if (getRegion(serverKey) !== ownRegion) return;
-      userAtMs.set(region, nowMs);
+      inboundAtMs.set(region, nowMs);
       getOutbox(region);
     });
     otherRunning.apply(region, activity.running, false);
-    copy(activity, forMembers, isWantedHere);
+    copy(activity, ownRegionOutbox, isRelevantHere);
   }
 
   function takeForMembers(): Activity {
     const running = ownRunning.sum();
     addRequests(running, otherRunning.sum());
-    const taken = forMembers;
-    forMembers = makeOutbox();
-    return { ...taken, running: toPairs(running, isWantedHere) };
+    const taken = ownRegionOutbox;
+    ownRegionOutbox = makeOutbox();
+    return { ...taken, running: toPairs(running, isRelevantHere) };
   }
 
   function takeForRegion(region: string): Activity | undefined {
-    const outbox = forRegions.get(region);
+    const outbox = outboxByRegion.get(region);
     if (outbox === undefined) return undefined;
-    if (!isRecent(usedAtMs, region) && !isRecent(userAtMs, region)) {
-      forRegions.delete(region);
+    if (!isRecent(outboundAtMs, region) && !isRecent(inboundAtMs, region)) {
+      outboxByRegion.delete(region);
       return undefined;
     }
-    forRegions.set(region, makeOutbox());
+    outboxByRegion.set(region, makeOutbox());
     const running = toPairs(
       ownRunning.sum(),
-      (key) => isWantedBy(region, key),
+      (key) => isRelevantTo(region, key),
     );
     return { ...outbox, running };
   }
 
-  return { addOwn, addOther, takeForMembers, takeForRegion };
+  return { addOwn, addOther, takeForOwnRegion: takeForMembers, takeForRegion };
 }
 
 function makeOutbox(): Outbox {
--- a/src/activity/running.ts
+++ b/src/activity/running.ts
@@ -23,7 +23,7 @@
    */
   apply(source: string, running: RequestPairs, includesOwn: boolean): void;
   /** Notes what this VM told of itself, to be left out of what includes it. */
-  noteTold(running: RequestPairs): void;
+  recordSent(running: RequestPairs): void;
   /** @returns Requests of other VMs at a server. */
   getTotal(serverId: string): number;
   /** @returns Requests of all sources that hold, by server. */
@@ -31,9 +31,9 @@
 }
 
 /** What was told holds no longer than this; it is told at least twice as often. */
-export const TOLD_VALID_MS = 1_500;
+export const REPORT_TTL_MS = 1_500;
 
-interface Told {
+interface RequestReport {
   requests: Map<number, number>;
   includesOwn: boolean;
   untilMs: number;
@@ -44,30 +44,30 @@
  * @returns A table in which nobody told anything.
  */
 export function createRunningRequests(clock: Clock): RunningRequests {
-  const toldBySource = new Map<string, Told>();
-  let ownTold = new Map<number, number>();
+  const reportBySource = new Map<string, RequestReport>();
+  let ownSent = new Map<number, number>();
 
-  function listValid(): Told[] {
+  function listValid(): RequestReport[] {
     const nowMs = clock.monotonicMs();
-    for (const [source, { untilMs }] of toldBySource) {
-      if (nowMs > untilMs) toldBySource.delete(source);
+    for (const [source, { untilMs }] of reportBySource) {
+      if (nowMs > untilMs) reportBySource.delete(source);
     }
-    return [...toldBySource.values()];
+    return [...reportBySource.values()];
   }
 
   return {
     apply(source, running, includesOwn) {
-      const untilMs = clock.monotonicMs() + TOLD_VALID_MS;
+      const untilMs = clock.monotonicMs() + REPORT_TTL_MS;
       const requests = toMap(running);
-      toldBySource.set(source, { requests, includesOwn, untilMs });
+      reportBySource.set(source, { requests, includesOwn, untilMs });
     },
-    noteTold: (running) => void (ownTold = toMap(running)),
+    recordSent: (running) => void (ownSent = toMap(running)),
     getTotal(serverId) {
       const key = hashToUint32(serverId);
       let total = 0;
       for (const { requests, includesOwn } of listValid()) {
         const told = requests.get(key) ?? 0;
-        const own = includesOwn ? ownTold.get(key) ?? 0 : 0;
+        const own = includesOwn ? ownSent.get(key) ?? 0 : 0;
         total += Math.max(0, told - own);
       }
       return total;
--- a/src/activity/sharing.ts
+++ b/src/activity/sharing.ts
@@ -8,24 +8,24 @@
  * @module
  */
 import type { VmIdentity } from "../members/types.ts";
-import { findRelay, type Topology } from "../members/hubs.ts";
+import { findRelayId, type Topology } from "../members/hubs.ts";
 import type { ObjectMemory } from "../placement/memory.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createRelay } from "./relay.ts";
 import {
   createRunningRequests,
+  REPORT_TTL_MS,
   type RunningRequests,
-  TOLD_VALID_MS,
 } from "./running.ts";
 import type { Activity, ActivityScope, RequestPairs } from "./types.ts";
 
 /** What sharing needs. */
-export interface SharingParts {
+export interface SharingOptions {
   self: VmIdentity;
   clock: Clock;
   log: Log;
-  memory: ObjectMemory;
+  cacheModel: ObjectMemory;
   /** Requests of other VMs, as those who choose servers see them. */
   running: RunningRequests;
   /** Other VMs that serve clients. */
@@ -49,7 +49,7 @@
   /** Takes in what another VM told. */
   receive(from: VmIdentity, scope: ActivityScope, activity: Activity): void;
   /** Tells a VM that was just found what servers were asked for. */
-  welcome(identity: VmIdentity): void;
+  sendHistory(identity: VmIdentity): void;
   stop(): void;
 }
 
@@ -58,19 +58,19 @@
  * on a small fleet; with 40 VMs and a pause of 10 ms the news took 0.4 of the
  * processor time of the requests themselves.
  */
-const DIRECT_PAUSE_MS = 50;
+const DIRECT_INTERVAL_MS = 50;
 /**
  * The same by way of a relay, on fleets whose requests last a second and more.
  * At 65 VMs the relay gets and sends 330 messages a second each.
  */
-const RELAYED_PAUSE_MS = 200;
+const RELAYED_INTERVAL_MS = 200;
 
 /**
  * @param parts What sharing needs.
  * @returns The running exchange.
  */
-export function startSharing(parts: SharingParts): Sharing {
-  const { self, clock, log, memory, running } = parts;
+export function startSharing(parts: SharingOptions): Sharing {
+  const { self, clock, log, cacheModel: memory, running } = parts;
   /** Kept apart, since what others told is passed on by this VM as a relay. */
   const ownRegionRunning = createRunningRequests(clock);
   const otherRegionsRunning = createRunningRequests(clock);
@@ -82,10 +82,10 @@
     getRegion: parts.getRegion,
   });
   /** Whom something was told last, by scope. */
-  const spokenTo = new Set<string>();
+  const activeReceivers = new Set<string>();
   let wasRelay = false;
-  let toldRunning: RequestPairs = [];
-  let toldAtMs = -Infinity;
+  let sentRunning: RequestPairs = [];
+  let sentAtMs = -Infinity;
   let stopped = false;
 
   function listOthers(): string[] {
@@ -102,21 +102,21 @@
 
   function takeOwn(): Activity {
     const taken = { ...memory.takeNews(), running: parts.getOwnRunning() };
-    running.noteTold(taken.running);
+    running.recordSent(taken.running);
     return taken;
   }
 
   /** Says nothing where nothing changed, but often enough to be believed. */
-  function tellAll(others: readonly string[]): void {
+  function sendToAll(others: readonly string[]): void {
     const own = takeOwn();
     const nowMs = clock.monotonicMs();
     const isNews = own.asked.length + own.forgotten.length > 0 ||
-      own.running.join() !== toldRunning.join();
+      own.running.join() !== sentRunning.join();
     const isDue = own.running.length > 0 &&
-      nowMs - toldAtMs > TOLD_VALID_MS / 3;
+      nowMs - sentAtMs > REPORT_TTL_MS / 3;
     if (!isNews && !isDue) return;
-    toldRunning = own.running;
-    toldAtMs = nowMs;
+    sentRunning = own.running;
+    sentAtMs = nowMs;
     parts.send(others, "vm", own);
   }
 
@@ -129,30 +129,30 @@
     const isEmpty = activity.asked.length + activity.forgotten.length +
         activity.running.length === 0;
     const key = `${scope} ${vmIds[0]}`;
-    if (isEmpty && !spokenTo.has(key)) return;
-    if (isEmpty) spokenTo.delete(key);
-    else spokenTo.add(key);
+    if (isEmpty && !activeReceivers.has(key)) return;
+    if (isEmpty) activeReceivers.delete(key);
+    else activeReceivers.add(key);
     parts.send(vmIds, scope, activity);
   }
 
-  function tellRelay(relayId: string): void {
+  function sendToRelay(relayId: string): void {
     sendUnlessSilent([relayId], "vm", takeOwn());
   }
 
-  function relayOn(members: readonly string[]): void {
+  function sendAsRelay(members: readonly string[]): void {
     const own = takeOwn();
     ownRegionRunning.apply(self.id, own.running, false);
     relay.addOwn(own);
-    sendUnlessSilent(members, "all", relay.takeForMembers());
+    sendUnlessSilent(members, "all", relay.takeForOwnRegion());
     for (const region of listOtherRegions()) {
-      const relayId = findRelay(parts.getTopology(), region);
+      const relayId = findRelayId(parts.getTopology(), region);
       const activity = relay.takeForRegion(region);
       if (relayId === undefined || activity === undefined) continue;
       sendUnlessSilent([relayId], "region", activity);
     }
   }
 
-  function noteRole(isRelay: boolean): void {
+  function updateRole(isRelay: boolean): void {
     if (isRelay === wasRelay) return;
     wasRelay = isRelay;
     log.info({ isRelay }, "relay of the region");
@@ -161,15 +161,15 @@
   /** @returns When to share again. */
   function share(): number {
     if (parts.getTopology().isFullMesh) {
-      noteRole(false);
-      tellAll(listOthers());
-      return DIRECT_PAUSE_MS;
+      updateRole(false);
+      sendToAll(listOthers());
+      return DIRECT_INTERVAL_MS;
     }
-    const relayId = findRelay(parts.getTopology(), self.region);
-    noteRole(relayId === self.id);
-    if (wasRelay) relayOn(listOthers());
-    else if (relayId !== undefined) tellRelay(relayId);
-    return RELAYED_PAUSE_MS;
+    const relayId = findRelayId(parts.getTopology(), self.region);
+    updateRole(relayId === self.id);
+    if (wasRelay) sendAsRelay(listOthers());
+    else if (relayId !== undefined) sendToRelay(relayId);
+    return RELAYED_INTERVAL_MS;
   }
 
   function run(): void {
@@ -195,7 +195,7 @@
       ownRegionRunning.apply(from.id, activity.running, false);
       relay.addOwn(activity);
     },
-    welcome(identity) {
+    sendHistory(identity) {
       if (identity.region !== self.region) return;
       if (!parts.getTopology().isFullMesh && !wasRelay) return;
       const activity = { ...memory.listAsked(), running: [] };
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -14,7 +14,7 @@
 import { createMemberTable } from "../members/table.ts";
 import type {
   VmIdentity,
-  VmRegister,
+  VmRegistry,
   VmReport,
   VmState,
 } from "../members/types.ts";
@@ -58,7 +58,7 @@
   clock: Clock;
   log: Log;
   source: FactSource;
-  register: VmRegister;
+  register: VmRegistry;
   codec: WireCodec;
   paths: ControlPaths;
 }
@@ -109,7 +109,7 @@
     board,
     knowledge,
     getFleetDemand: () => mesh.getDemand(),
-    passOn: (items) => mesh.passOn(items),
+    passOn: (items) => mesh.broadcastFacts(items),
   });
   const metrics = createGatewayMetrics(
     core,
@@ -142,24 +142,24 @@
   const mesh = startMesh({
     self,
     table,
-    board,
+    factStore: board,
     knowledge,
     needsProofs: () => {
       const routes = core.getRoutes();
       return routes === undefined || routes.accounts !== undefined;
     },
-    register: parts.register,
+    registry: parts.register,
     clock,
     log,
     server: peers.server,
     seeds: settings.seeds,
-    startsWithAll: settings.startsWithAll,
+    isFleetBootstrap: settings.startsWithAll,
     makeReport: (): VmReport => ({
       state: updateState(),
       demandPerS: core.demand.getRates(),
       digests: board.getDigests(),
     }),
-    onFound: (identity) => sharing.welcome(identity),
+    onFound: (identity) => sharing.sendHistory(identity),
     onActivity: (from, scope, activity) =>
       sharing.receive(from, scope, activity),
     onUsage: (from, news) => usageSharing.receive(from, news),
@@ -196,13 +196,13 @@
         vms,
         usage: packUsage(usage),
       }),
-    tellRates: mesh.tellServerRateLimits,
+    tellRates: mesh.broadcastServerRateLimits,
   });
   const sharing = startSharing({
     self,
     clock,
     log,
-    memory,
+    cacheModel: memory,
     running,
     listServing: table.listServing,
     getTopology: () => mesh.getTopology(),
@@ -212,18 +212,18 @@
       mesh.sendTo(vmIds, { kind: "activity", scope, ...activity }),
   });
   const readers = startReaders(parts, board, {
-    hasDuty: () => mesh.hasListed() && vms.hasReadDuty(mesh.getTopology()),
+    hasDuty: () => mesh.hasListed() && vms.isReader(mesh.getTopology()),
     isOverdue: (ageMs) =>
       isOverdue(ageMs, {
         isPlaced: mesh.hasListed(),
         isBehindHub: isBehindHub(mesh.getTopology(), self),
         upMs: clock.monotonicMs() - startedAtMs,
       }),
-    onNews: (items) => mesh.passOn(items),
+    onNews: (items) => mesh.broadcastFacts(items),
     onRead: (topic, askedAt) => {
       const isProof = topic === "operations" && provesConfiguration(board);
       if (isProof) knowledge.noteReading(askedAt);
-      mesh.noteRead(topic);
+      mesh.announceRead(topic);
     },
     getInstant: knowledge.getInstant,
   });
@@ -264,7 +264,7 @@
   const startCheck = clock.every(START_CHECK_MS, () => {
     if (updateState() === "starting") return;
     startCheck.cancel();
-    mesh.reportNow();
+    mesh.sendReport();
   });
   const { withdrawalMs } = settings.accounts;
   const knowledgeWatch = withdrawalMs === undefined
--- a/src/gateway/leave.ts
+++ b/src/gateway/leave.ts
@@ -46,7 +46,7 @@
   const { clock, log, front, mesh } = parts;
   const startedAtMs = clock.monotonicMs();
   log.info({ openRequests: front.countOpen() }, "leaving");
-  mesh.reportNow();
+  mesh.sendReport();
   front.startLeaving();
   const forgetMs = parts.ttlMs * TTL_STRETCH + LEAVE_MARGIN_MS;
   const lastMs = parts.graceMs - EXIT_MARGIN_MS;
--- a/src/limits/model/world.ts
+++ b/src/limits/model/world.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { makeVmIdentity } from "../../gateway/fixture.ts";
-import { arrange } from "../../members/hubs.ts";
+import { buildTopology } from "../../members/hubs.ts";
 import type { VmIdentity } from "../../members/types.ts";
 import { createFakeClock, type FakeClock } from "../../runtime/clock.ts";
 import { createRandom, type Random } from "../../runtime/random.ts";
@@ -158,7 +158,7 @@
         region: REGIONS[index % REGIONS.length],
       }),
   );
-  const topology = arrange(identities);
+  const topology = buildTopology(identities);
   const vms: ModelVm[] = [];
 
   function deliver(from: VmIdentity, toId: string, news: UsageNews): void {
--- a/src/limits/usage_sharing.ts
+++ b/src/limits/usage_sharing.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import { findRelay, type Topology } from "../members/hubs.ts";
+import { findRelayId, type Topology } from "../members/hubs.ts";
 import type { VmIdentity } from "../members/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LimitUsage, RateLimiter } from "./limiter.ts";
@@ -83,7 +83,7 @@
 
   function isRelay(): boolean {
     return !parts.getTopology().isFullMesh &&
-      findRelay(parts.getTopology(), self.region) === self.id;
+      findRelayId(parts.getTopology(), self.region) === self.id;
   }
 
   function tell(key: string, vmIds: readonly string[], news: UsageNews): void {
@@ -117,7 +117,7 @@
       tell(id, [id], { scope: "rest", vms, usage: rest.list() });
     }
     for (const other of parts.getTopology().hubs.keys()) {
-      const relay = findRelay(parts.getTopology(), other);
+      const relay = findRelayId(parts.getTopology(), other);
       if (other === self.region || relay === undefined) continue;
       const vms = 1 + members.length;
       tell(relay, [relay], { scope: "region", vms, usage: ofRegion });
@@ -134,7 +134,7 @@
     if (parts.getTopology().isFullMesh) {
       return tell("all", parts.listOthers().map(({ id }) => id), news);
     }
-    const relay = findRelay(parts.getTopology(), self.region);
+    const relay = findRelayId(parts.getTopology(), self.region);
     if (relay !== undefined) tell(relay, [relay], news);
   }
 
@@ -146,12 +146,12 @@
   function isExpected({ id, region }: VmIdentity, scope: UsageScope): boolean {
     if (parts.getTopology().isFullMesh) return scope === "vm";
     if (scope === "rest") {
-      return id === findRelay(parts.getTopology(), self.region);
+      return id === findRelayId(parts.getTopology(), self.region);
     }
     if (!isRelay()) return false;
     return scope === "vm"
       ? region === self.region
-      : id === findRelay(parts.getTopology(), region);
+      : id === findRelayId(parts.getTopology(), region);
   }
 
   function receiveOfMember(id: string, usage: LimitUsage[]): void {
--- a/src/members/dialing.ts
+++ b/src/members/dialer.ts
@@ -7,19 +7,19 @@
 import type { DialedLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
 import {
-  arrange,
+  buildTopology,
   isHub,
-  listLinked,
+  listLinkTargets,
   MAX_FULL_MESH_VMS,
   type Topology,
 } from "./hubs.ts";
 import type { LinkSet } from "./link_set.ts";
-import { createReach } from "./reach.ts";
+import { createHubReachability } from "./hub_reachability.ts";
 import type { MemberTable } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 
 /** What dialing needs. */
-export interface DialingParts {
+export interface DialerOptions {
   self: VmIdentity;
   table: MemberTable;
   clock: Clock;
@@ -28,17 +28,17 @@
   /** Addresses to dial while no other VM is known. */
   seeds: readonly string[];
   /** Whether the register had time to tell of others. */
-  isSeedTime: () => boolean;
+  canDialSeeds: () => boolean;
   /** Keeps a link to an address. */
   dial: (address: string) => DialedLink;
 }
 
 /** Dials other VMs. */
-export interface Dialing {
+export interface Dialer {
   /** Looks which links are missing, and which are needed no more. */
-  look(): void;
+  updateLinks(): void;
   /** Looks once for all VMs that are found meanwhile. */
-  lookSoon(): void;
+  scheduleUpdate(): void;
   getTopology(): Topology;
   /**
    * @returns Whether this VM is a hub; one that others of its region take for
@@ -49,17 +49,17 @@
 }
 
 /** Pause in which VMs that were found gather before links are looked at. */
-const LOOK_PAUSE_MS = 50;
+const UPDATE_DELAY_MS = 50;
 
 /**
  * @param parts What dialing needs.
  * @returns A dialing without links.
  */
-export function createDialing(parts: DialingParts): Dialing {
+export function createDialer(parts: DialerOptions): Dialer {
   const { self, table, clock, log, links } = parts;
   const dialed = new Map<string, DialedLink>();
-  const reach = createReach(clock);
-  let topology = arrange([self]);
+  const reach = createHubReachability(clock);
+  let topology = buildTopology([self]);
   let isDue = false;
   let stopped = false;
 
@@ -71,22 +71,22 @@
       );
   }
 
-  function listWanted(): VmIdentity[] {
-    return listLinked(topology, self, actsAsHub());
+  function listTargets(): VmIdentity[] {
+    return listLinkTargets(topology, self, actsAsHub());
   }
 
   /** Hubs that can't be reached are left out for a while. */
-  function listPossible(): VmIdentity[] {
-    const possible = table.listPossible();
-    return [self, ...possible.filter(({ id }) => !reach.isGivenUp(id))];
+  function listCandidates(): VmIdentity[] {
+    const possible = table.listHubCandidates();
+    return [self, ...possible.filter(({ id }) => !reach.isExcluded(id))];
   }
 
   function updateTopology(): void {
     const before = topology;
     const known = table.listKnown().map(({ identity }) => identity);
     topology = known.length < MAX_FULL_MESH_VMS
-      ? arrange([self, ...known])
-      : arrange(listPossible(), false);
+      ? buildTopology([self, ...known])
+      : buildTopology(listCandidates(), false);
     const { isFullMesh } = topology;
     const isOwnHub = isHub(topology, self);
     const isSame = isHub(before, self) === isOwnHub &&
@@ -100,7 +100,7 @@
    * Of two hubs the one with the lower address dials, unless the other doesn't
    * take itself for one; VMs that are no hubs dial theirs.
    */
-  function isOwnTurn(target: VmIdentity): boolean {
+  function shouldDial(target: VmIdentity): boolean {
     if (self.peerAddress < target.peerAddress) return true;
     if (topology.isFullMesh) return false;
     return !isHub(topology, self) || reach.isOverdue(target.id);
@@ -109,18 +109,18 @@
   /** While no other VM is known, seeds are dialed. */
   function listAddresses(isAlone: boolean): Set<string> {
     const addresses = new Set<string>();
-    for (const target of listWanted()) {
-      if (!topology.isFullMesh) reach.note(target.id, links.has(target.id));
-      if (isOwnTurn(target)) addresses.add(target.peerAddress);
+    for (const target of listTargets()) {
+      if (!topology.isFullMesh) reach.record(target.id, links.has(target.id));
+      if (shouldDial(target)) addresses.add(target.peerAddress);
     }
-    if (isAlone && parts.isSeedTime()) {
+    if (isAlone && parts.canDialSeeds()) {
       parts.seeds.forEach((seed) => addresses.add(seed));
     }
     addresses.delete(self.peerAddress);
     return addresses;
   }
 
-  function closeOthers(addresses: ReadonlySet<string>): void {
+  function closeUnneeded(addresses: ReadonlySet<string>): void {
     for (const [address, link] of dialed) {
       if (addresses.has(address)) continue;
       link.close();
@@ -129,9 +129,9 @@
   }
 
   /** Former hubs are kept until all new ones are linked. */
-  function isAnyMissing(): boolean {
+  function isAnyLinkMissing(): boolean {
     return !topology.isFullMesh &&
-      listWanted().some(({ id }) => !links.has(id));
+      listTargets().some(({ id }) => !links.has(id));
   }
 
   function look(): void {
@@ -143,21 +143,21 @@
     for (const address of addresses) {
       if (!dialed.has(address)) dialed.set(address, parts.dial(address));
     }
-    if (!isAlone && !isAnyMissing()) closeOthers(addresses);
+    if (!isAlone && !isAnyLinkMissing()) closeUnneeded(addresses);
   }
 
   return {
-    look,
-    lookSoon() {
+    updateLinks: look,
+    scheduleUpdate() {
       if (isDue) return;
       isDue = true;
-      clock.after(LOOK_PAUSE_MS, look);
+      clock.after(UPDATE_DELAY_MS, look);
     },
     getTopology: () => topology,
     actsAsHub,
     stop() {
       stopped = true;
-      closeOthers(new Set());
+      closeUnneeded(new Set());
     },
   };
 }
--- a/src/members/discovery.ts
+++ b/src/members/discovery.ts
@@ -7,12 +7,12 @@
 import { describeError } from "../runtime/errors.ts";
 import { hashToUnit } from "../runtime/hash.ts";
 import type { Log } from "../telemetry/log.ts";
-import type { VmIdentity, VmRegister } from "./types.ts";
+import type { VmIdentity, VmRegistry } from "./types.ts";
 
 /** What discovery needs. */
-export interface DiscoveryParts {
+export interface DiscoveryOptions {
   self: VmIdentity;
-  register: VmRegister;
+  registry: VmRegistry;
   clock: Clock;
   log: Log;
   /** Pause before the first list. */
@@ -22,7 +22,7 @@
   /** @returns The latest epoch of the register that any VM heard of. */
   getEpoch: () => number;
   /** Whether the register may know VMs that this one doesn't. */
-  isWanted: () => boolean;
+  shouldList: () => boolean;
   /** Whether no VM is linked. */
   isAlone: () => boolean;
   /** Told of what the register lists; of nothing where it doesn't answer. */
@@ -37,26 +37,26 @@
 }
 
 /** How often the register is asked while this VM starts, or is alone. */
-const STARTING_LIST_MS = 2_000;
+const STARTUP_LIST_INTERVAL_MS = 2_000;
 /** After that time VMs learn of new ones from each other. */
-const STARTING_MS = 5_000;
-const SETTLED_LIST_MS = 30_000;
-const REGISTER_RETRY_MS = 1_000;
+const STARTUP_MS = 5_000;
+const LIST_INTERVAL_MS = 30_000;
+const REGISTER_RETRY_DELAY_MS = 1_000;
 /** How often a VM looks whether the register was restored. */
-const EPOCH_CHECK_MS = 1_000;
+const EPOCH_CHECK_INTERVAL_MS = 1_000;
 /**
  * All VMs register again after a restore. That is spread, by their number, to a
  * hundred writes a second.
  */
-const REGISTER_AGAIN_MS_PER_VM = 10;
-const LEAST_REGISTER_AGAIN_MS = 1_000;
+const REREGISTER_SPREAD_MS_PER_VM = 10;
+const MIN_REREGISTER_SPREAD_MS = 1_000;
 
 /**
  * @param parts What discovery needs.
  * @returns The running discovery.
  */
-export function startDiscovery(parts: DiscoveryParts): Discovery {
-  const { self, register, clock, log } = parts;
+export function startDiscovery(parts: DiscoveryOptions): Discovery {
+  const { self, registry: register, clock, log } = parts;
   const startedAtMs = clock.monotonicMs();
   let hasListed = false;
   let stopped = false;
@@ -70,18 +70,18 @@
       registeredEpoch = epoch ?? parts.getEpoch();
     } catch (cause) {
       log.warn({ error: describeError(cause) }, "registering failed");
-      clock.after(REGISTER_RETRY_MS, () => void registerSelf());
+      clock.after(REGISTER_RETRY_DELAY_MS, () => void registerSelf());
     }
   }
 
   /** A register that was restored may have lost this VM. */
-  function registerAgain(): void {
+  function reregisterAfterRestore(): void {
     const epoch = parts.getEpoch();
     if (registeredEpoch === undefined || registeredEpoch >= epoch) return;
     registeredEpoch = epoch;
     const spreadMs = Math.max(
-      LEAST_REGISTER_AGAIN_MS,
-      parts.countKnown() * REGISTER_AGAIN_MS_PER_VM,
+      MIN_REREGISTER_SPREAD_MS,
+      parts.countKnown() * REREGISTER_SPREAD_MS_PER_VM,
     );
     const delayMs = hashToUnit(`${self.id} ${epoch}`) * spreadMs;
     log.info({ epoch, delayMs: Math.round(delayMs) }, "registering again");
@@ -89,7 +89,7 @@
   }
 
   async function list(): Promise<readonly VmIdentity[]> {
-    if (!parts.isWanted()) return [];
+    if (!parts.shouldList()) return [];
     try {
       return await register.list();
     } catch (cause) {
@@ -103,15 +103,20 @@
     const members = await list();
     hasListed = true;
     parts.onListed(members);
-    const hasSettled = clock.monotonicMs() - startedAtMs >= STARTING_MS;
+    const hasSettled = clock.monotonicMs() - startedAtMs >= STARTUP_MS;
     clock.after(
-      hasSettled && !parts.isAlone() ? SETTLED_LIST_MS : STARTING_LIST_MS,
+      hasSettled && !parts.isAlone()
+        ? LIST_INTERVAL_MS
+        : STARTUP_LIST_INTERVAL_MS,
       () => void findMembers(),
     );
   }
 
   void registerSelf().then(() => clock.after(parts.listAfterMs, findMembers));
-  const epochCheck = clock.every(EPOCH_CHECK_MS, registerAgain);
+  const epochCheck = clock.every(
+    EPOCH_CHECK_INTERVAL_MS,
+    reregisterAfterRestore,
+  );
   return {
     hasListed: () => hasListed,
     stop() {
--- a/src/members/discovery_test.ts
+++ b/src/members/discovery_test.ts
@@ -4,9 +4,9 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { startDiscovery } from "./discovery.ts";
-import { type VmIdentity, VmRegister } from "./types.ts";
+import { type VmIdentity, VmRegistry } from "./types.ts";
 
-class CountingRegister extends VmRegister {
+class CountingRegister extends VmRegistry {
   epoch: number | undefined = 1;
   registeredAtMs: number[] = [];
 
@@ -30,13 +30,13 @@
   const heard = { epoch: 0 };
   const discovery = startDiscovery({
     self: makeVmIdentity(`vm-${index}`),
-    register,
+    registry: register,
     clock,
     log: createSilentLog(),
     listAfterMs: 0,
     countKnown: () => vms,
     getEpoch: () => heard.epoch,
-    isWanted: () => true,
+    shouldList: () => true,
     isAlone: () => false,
     onListed: () => {},
   });
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -9,17 +9,17 @@
 import { createRouter, listen } from "../runtime/http_server.ts";
 import { createServerRateLimits } from "../servers/rate_limits.ts";
 import { createSilentLog } from "../telemetry/log.ts";
-import { arrange, isHub, MAX_FULL_MESH_VMS } from "./hubs.ts";
+import { buildTopology, isHub, MAX_FULL_MESH_VMS } from "./hubs.ts";
 import { startMesh } from "./mesh.ts";
 import { createMemberTable } from "./table.ts";
-import { type VmIdentity, VmRegister, type VmState } from "./types.ts";
+import { type VmIdentity, VmRegistry, type VmState } from "./types.ts";
 
 const clock = createSystemClock();
 const REGIONS = ["oslo", "bergen", "trondheim"];
 const VMS = MAX_FULL_MESH_VMS + 3;
 
 /** The register that all VMs of a test share. */
-class SharedRegister extends VmRegister {
+class SharedRegister extends VmRegistry {
   readonly #vms = new Map<string, VmIdentity>();
   lists = 0;
 
@@ -34,7 +34,7 @@
   }
 }
 
-async function startVm(index: number, register: VmRegister) {
+async function startVm(index: number, register: VmRegistry) {
   const http = await listen(createRouter(), "127.0.0.1:0");
   const board = createNewsBoard(clock);
   const region = REGIONS[index % REGIONS.length];
@@ -54,15 +54,15 @@
   const mesh = startMesh({
     self,
     table,
-    board,
+    factStore: board,
     knowledge: createKnowledge({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
-    register,
+    registry: register,
     clock,
     log,
     server: http.server,
     seeds: [],
-    startsWithAll: true,
+    isFleetBootstrap: true,
     makeReport: () => ({
       state,
       demandPerS: { s: 2 },
@@ -82,7 +82,7 @@
     rateLimits,
     leave() {
       state = "leaving";
-      mesh.reportNow();
+      mesh.sendReport();
     },
     async stop() {
       mesh.stop();
@@ -99,7 +99,7 @@
   const vms = await Promise.all(
     Array.from({ length: VMS }, (_, index) => startVm(index, register)),
   );
-  const topology = arrange(vms.map(({ self }) => self));
+  const topology = buildTopology(vms.map(({ self }) => self));
   const isHubVm = ({ self }: TestVm) => isHub(topology, self);
   await waitUntil(() => vms.every((vm) => countServing(vm) === VMS - 1));
   return {
@@ -140,7 +140,7 @@
     toEndNews({ request: "r", round: 0, server: "1", vm: "vm-0", seenAtMs }),
   ];
   others[0].board.apply(news);
-  others[0].mesh.passOn(news);
+  others[0].mesh.broadcastFacts(news);
   await waitUntil(() =>
     vms.every(({ board }) =>
       board.listTopic("servers").length === 1 &&
@@ -154,7 +154,7 @@
   const { vms, others, stop } = await startFleet();
   const [told] = others;
   told.rateLimits.note("1", 3.5);
-  told.mesh.tellServerRateLimits(told.rateLimits.takeNews());
+  told.mesh.broadcastServerRateLimits(told.rateLimits.takeNews());
   await waitUntil(() =>
     vms.every(({ rateLimits }) => rateLimits.getRatePerS("1") === 3.5)
   );
--- a/src/members/reach.ts
+++ b/src/members/hub_reachability.ts
@@ -6,26 +6,26 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /** Follows wanted links. */
-export interface Reach {
+export interface HubReachability {
   /** Notes whether a link that is wanted is there. */
-  note(id: string, isLinked: boolean): void;
+  record(id: string, isLinked: boolean): void;
   /** @returns Whether a link is missing for so long that this side may dial. */
   isOverdue(id: string): boolean;
   /** @returns Whether a VM is passed over as a hub, for a while. */
-  isGivenUp(id: string): boolean;
+  isExcluded(id: string): boolean;
 }
 
 /** A hub that can't be reached for this long is given up, for a while. */
-const UNREACHABLE_MS = 1_500;
-const GIVEN_UP_MS = 10_000;
+const UNREACHABLE_AFTER_MS = 1_500;
+const EXCLUSION_MS = 10_000;
 
 /**
  * @param clock The clock.
  * @returns A reach in which nothing is missing.
  */
-export function createReach(clock: Clock): Reach {
+export function createHubReachability(clock: Clock): HubReachability {
   const missingSinceMs = new Map<string, number>();
-  const givenUpAtMs = new Map<string, number>();
+  const excludedAtMs = new Map<string, number>();
 
   function getMissingMs(id: string): number {
     const sinceMs = missingSinceMs.get(id);
@@ -33,23 +33,23 @@
   }
 
   return {
-    note(id, isLinked) {
+    record(id, isLinked) {
       if (isLinked) {
         missingSinceMs.delete(id);
-        givenUpAtMs.delete(id);
+        excludedAtMs.delete(id);
         return;
       }
       if (!missingSinceMs.has(id)) {
         missingSinceMs.set(id, clock.monotonicMs());
       }
-      if (getMissingMs(id) < UNREACHABLE_MS) return;
-      givenUpAtMs.set(id, clock.monotonicMs());
+      if (getMissingMs(id) < UNREACHABLE_AFTER_MS) return;
+      excludedAtMs.set(id, clock.monotonicMs());
       missingSinceMs.delete(id);
     },
-    isOverdue: (id) => getMissingMs(id) > UNREACHABLE_MS / 2,
-    isGivenUp(id) {
-      const atMs = givenUpAtMs.get(id);
-      return atMs !== undefined && clock.monotonicMs() - atMs < GIVEN_UP_MS;
+    isOverdue: (id) => getMissingMs(id) > UNREACHABLE_AFTER_MS / 2,
+    isExcluded(id) {
+      const atMs = excludedAtMs.get(id);
+      return atMs !== undefined && clock.monotonicMs() - atMs < EXCLUSION_MS;
     },
   };
 }
--- a/src/members/hub_views.ts
+++ b/src/members/hub_views.ts
@@ -5,14 +5,14 @@
  */
 import type { Clock } from "../runtime/clock.ts";
 import { sumDemands } from "./demand.ts";
-import { findRelay, isHub, type Topology } from "./hubs.ts";
+import { findRelayId, isHub, type Topology } from "./hubs.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 import type { Member, MemberTable } from "./table.ts";
 import type { DemandByRegion, VmIdentity, VmReport } from "./types.ts";
-import { createViewTeller, type ToldVm } from "./view_teller.ts";
+import { createViewSender, type ReportedVm } from "./view_sender.ts";
 
 /** What telling needs. */
-export interface HubViewsParts {
+export interface HubViewsOptions {
   self: VmIdentity;
   table: MemberTable;
   clock: Clock;
@@ -26,11 +26,11 @@
 /** Tells of VMs. */
 export interface HubViews {
   /** Tells what changed, or that nothing did. */
-  tell(): void;
+  sendChanges(): void;
   /** Tells what changed, together with what changes meanwhile. */
-  tellSoon(): void;
+  scheduleChanges(): void;
   /** Tells one VM all. */
-  sendAll(link: VmLink, identity: VmIdentity): void;
+  sendSnapshot(link: VmLink, identity: VmIdentity): void;
   /**
    * @returns Demand of the clients of all VMs; undefined where VMs tell each
    *   other themselves, or no hub told yet.
@@ -39,17 +39,17 @@
 }
 
 /** Pause in which changes of VMs gather, so that they come in batches. */
-const PAUSE_MS = 100;
+const BATCH_DELAY_MS = 100;
 
 /**
  * @param parts What telling needs.
  * @returns Views of which nothing was told.
  */
-export function createHubViews(parts: HubViewsParts): HubViews {
+export function createHubViews(parts: HubViewsOptions): HubViews {
   const { self, table, clock, links, makeReport, actsAsHub } = parts;
   /** For VMs of this region: all VMs. For hubs: those that are linked here. */
-  const fleetTeller = createViewTeller("fleet");
-  const linkedTeller = createViewTeller("linked");
+  const fleetSender = createViewSender("fleet");
+  const linkedSender = createViewSender("linked");
   let isDue = false;
 
   function isMember(identity: VmIdentity): boolean {
@@ -62,12 +62,12 @@
     if (!actsAsHub()) return;
     const own = { identity: self, state: makeReport().state };
     const demandPerS = sumLinkedDemand();
-    const linked = linkedTeller.update(
-      [own, ...listTold(table.listLinked())],
+    const linked = linkedSender.update(
+      [own, ...listReported(table.listLinked())],
       demandPerS,
     );
-    const all = fleetTeller.update(
-      [own, ...listTold(table.listVouched())],
+    const all = fleetSender.update(
+      [own, ...listReported(table.listLinkedToAnyHub())],
       sumDemands([demandPerS, ...table.listDemands("linked")]),
     );
     links.sendWhere({ kind: "view", ...all }, isMember);
@@ -79,7 +79,7 @@
 
   /** The first hub of a region sums up, so that no demand counts twice. */
   function sumLinkedDemand(): DemandByRegion {
-    const relayId = findRelay(parts.getTopology(), self.region);
+    const relayId = findRelayId(parts.getTopology(), self.region);
     if (relayId !== self.id) return {};
     const reports = table.listLinked()
       .filter(({ identity }) => identity.region === self.region)
@@ -92,15 +92,15 @@
   }
 
   return {
-    tell,
-    tellSoon() {
+    sendChanges: tell,
+    scheduleChanges() {
       if (isDue || !actsAsHub()) return;
       isDue = true;
-      clock.after(PAUSE_MS, tell);
+      clock.after(BATCH_DELAY_MS, tell);
     },
-    sendAll(link, identity) {
-      const teller = isMember(identity) ? fleetTeller : linkedTeller;
-      link.send({ kind: "view", ...teller.tellAll() });
+    sendSnapshot(link, identity) {
+      const teller = isMember(identity) ? fleetSender : linkedSender;
+      link.send({ kind: "view", ...teller.makeSnapshot() });
     },
     getDemand() {
       const topology = parts.getTopology();
@@ -111,7 +111,7 @@
   };
 }
 
-function listTold(members: readonly Member[]): ToldVm[] {
+function listReported(members: readonly Member[]): ReportedVm[] {
   return members.flatMap(({ identity, state }) =>
     state === undefined ? [] : [{ identity, state }]
   );
--- a/src/members/hubs.ts
+++ b/src/members/hubs.ts
@@ -29,7 +29,7 @@
  * @param isFullMesh Whether all link to all, unless by how many they are.
  * @returns Who links to whom.
  */
-export function arrange(
+export function buildTopology(
   vms: readonly VmIdentity[],
   isFullMesh = vms.length <= MAX_FULL_MESH_VMS,
 ): Topology {
@@ -39,7 +39,7 @@
   }
   const hubs = [...byRegion].map(([region, all]): [string, VmIdentity[]] => [
     region,
-    isFullMesh ? rankHubs(all) : pickHubs(rankHubs(all)),
+    isFullMesh ? rankHubs(all) : selectHubs(rankHubs(all)),
   ]);
   return { isFullMesh, hubs: new Map(hubs) };
 }
@@ -52,7 +52,7 @@
 }
 
 /** The hubs of a region stand in different failure domains where they can. */
-function pickHubs(ranked: readonly VmIdentity[]): VmIdentity[] {
+function selectHubs(ranked: readonly VmIdentity[]): VmIdentity[] {
   const domains = new Set<string>();
   const apart: VmIdentity[] = [];
   for (const vm of ranked) {
@@ -79,7 +79,7 @@
  * @returns The VM that sums up for the region: its first hub, which all VMs of
  *   the region and the other hubs link to.
  */
-export function findRelay(
+export function findRelayId(
   { hubs }: Topology,
   region: string,
 ): string | undefined {
@@ -101,7 +101,7 @@
  * @param actsAsHub Whether others took it for a hub, whatever the topology says.
  * @returns The VMs that it keeps links to.
  */
-export function listLinked(
+export function listLinkTargets(
   topology: Topology,
   self: VmIdentity,
   actsAsHub: boolean,
--- a/src/members/hubs_test.ts
+++ b/src/members/hubs_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { arrange, listLinked, MAX_FULL_MESH_VMS } from "./hubs.ts";
+import { buildTopology, listLinkTargets, MAX_FULL_MESH_VMS } from "./hubs.ts";
 import type { VmIdentity } from "./types.ts";
 
 const DOMAINS = ["a", "b", "c"];
@@ -25,20 +25,23 @@
 
 test("a small fleet links all to all", () => {
   const fleet = makeFleet(MAX_FULL_MESH_VMS / 3);
-  const topology = arrange(fleet);
+  const topology = buildTopology(fleet);
   assert.ok(topology.isFullMesh);
-  assert.is(listLinked(topology, fleet[0], false).length, fleet.length - 1);
+  assert.is(
+    listLinkTargets(topology, fleet[0], false).length,
+    fleet.length - 1,
+  );
 });
 
 test("VMs of a large fleet link to two hubs, and hubs to each other", () => {
   const fleet = makeFleet(65);
-  const topology = arrange(fleet);
+  const topology = buildTopology(fleet);
   assert.not(topology.isFullMesh);
   const hubs = [...topology.hubs.values()].flat().map(({ id }) => id);
   assert.is(hubs.length, 6);
   let total = 0;
   for (const vm of fleet) {
-    const linked = listLinked(topology, vm, false);
+    const linked = listLinkTargets(topology, vm, false);
     total += linked.length;
     assert.ok(linked.every(({ id }) => hubs.includes(id)));
     assert.is(linked.length, hubs.includes(vm.id) ? 5 : 2);
@@ -47,32 +50,32 @@
 });
 
 test("the hubs of a region stand in different failure domains", () => {
-  for (const [, [first, second]] of arrange(makeFleet(30)).hubs) {
+  for (const [, [first, second]] of buildTopology(makeFleet(30)).hubs) {
     assert.is.not(first.failureDomain, second.failureDomain);
   }
 });
 
 test("VMs with more processor time become hubs", () => {
   const fleet = [...makeFleet(30), makeVm("oslo", 100, 5)];
-  assert.is(arrange(fleet).hubs.get("oslo")![0].id, "oslo-100");
+  assert.is(buildTopology(fleet).hubs.get("oslo")![0].id, "oslo-100");
 });
 
 test("the loss of a hub moves only what it did", () => {
   const fleet = makeFleet(65);
-  const before = arrange(fleet);
+  const before = buildTopology(fleet);
   const [first, second] = before.hubs.get("oslo")!;
-  const after = arrange(fleet.filter((vm) => vm !== first));
+  const after = buildTopology(fleet.filter((vm) => vm !== first));
   assert.ok(after.hubs.get("oslo")!.includes(second));
   assert.equal(after.hubs.get("bergen"), before.hubs.get("bergen"));
 });
 
 test("a VM that others take for their hub links to the hubs of all regions", () => {
   const fleet = makeFleet(65);
-  const topology = arrange(fleet);
+  const topology = buildTopology(fleet);
   const isHub = (vm: VmIdentity) =>
     [...topology.hubs.values()].flat().includes(vm);
   const other = fleet.find((vm) => !isHub(vm))!;
-  assert.is(listLinked(topology, other, true).length, 6);
+  assert.is(listLinkTargets(topology, other, true).length, 6);
 });
 
 test.run();
--- a/src/members/link_set.ts
+++ b/src/members/link_set.ts
@@ -7,7 +7,7 @@
 import { encodeBroadcast, type PeerLink } from "../runtime/peer_link.ts";
 import type { VmMessage } from "./messages.ts";
 import type { FactPeer } from "./repair.ts";
-import { SILENCE_LIMIT_MS } from "./table.ts";
+import { PEER_TIMEOUT_MS } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 
 /** A link to another VM. */
@@ -73,7 +73,7 @@
     add(link) {
       const facts: FactPeer = {
         peer: link.peer,
-        ask: (topic) => link.send({ kind: "want", topic }),
+        requestTopic: (topic) => link.send({ kind: "want", topic }),
       };
       const heardAtMs = clock.monotonicMs();
       links.set(link, { identity: undefined, heardAtMs, facts });
@@ -103,7 +103,7 @@
       for (const link of links.keys()) run(link);
     },
     closeSilent() {
-      const limitMs = clock.monotonicMs() - SILENCE_LIMIT_MS;
+      const limitMs = clock.monotonicMs() - PEER_TIMEOUT_MS;
       for (const [link, { heardAtMs }] of links) {
         if (heardAtMs < limitMs) link.close();
       }
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -16,7 +16,7 @@
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
-import { createDialing } from "./dialing.ts";
+import { createDialer } from "./dialer.ts";
 import { startDiscovery } from "./discovery.ts";
 import { createHubViews } from "./hub_views.ts";
 import { isHub, type Topology } from "./hubs.ts";
@@ -24,30 +24,30 @@
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
 import {
   createPayloadReceiver,
-  makeNewsMessage,
+  makeFactMessage,
   makeTopicMessage,
   type PayloadListeners,
 } from "./payloads.ts";
-import { createProofTeller } from "./proofs.ts";
+import { createProofSender } from "./proofs.ts";
 import { createFactRepair } from "./repair.ts";
-import { mergeParts, pickChangedParts } from "./report_parts.ts";
+import { diffReport, mergeReport } from "./report_delta.ts";
 import type { MemberTable } from "./table.ts";
 import type {
   DemandByRegion,
   VmIdentity,
-  VmRegister,
+  VmRegistry,
   VmReport,
 } from "./types.ts";
 
 /** What a mesh needs. */
-export interface MeshParts extends PayloadListeners {
+export interface MeshOptions extends PayloadListeners {
   self: VmIdentity;
   table: MemberTable;
-  board: NewsBoard;
+  factStore: NewsBoard;
   knowledge: Knowledge;
   /** Whether anything hangs on how old knowledge is. */
   needsProofs: () => boolean;
-  register: VmRegister;
+  registry: VmRegistry;
   clock: Clock;
   log: Log;
   /** Server that accepts links of other VMs. */
@@ -55,7 +55,7 @@
   /** Peer addresses to begin with; some may be down. */
   seeds: readonly string[];
   /** Whether all VMs start now, for the first time. */
-  startsWithAll: boolean;
+  isFleetBootstrap: boolean;
   /** What this VM tells of itself. */
   makeReport: () => VmReport;
   /** Told of each VM that says who it is. */
@@ -65,13 +65,13 @@
 /** The links of this VM. */
 export interface Mesh {
   /** Passes facts on to every VM that is linked. */
-  passOn(items: NewsItem[]): void;
+  broadcastFacts(items: NewsItem[]): void;
   /** Tells every VM that is linked of rate limits of servers. */
-  tellServerRateLimits(rates: RateLimitNews[]): void;
+  broadcastServerRateLimits(rates: RateLimitNews[]): void;
   /** Tells every VM that this one read a topic from its source. */
-  noteRead(topic: SourceTopic): void;
+  announceRead(topic: SourceTopic): void;
   /** Tells every VM how this one is, now. */
-  reportNow(): void;
+  sendReport(): void;
   /** Sends a message to some VMs that are linked. */
   sendTo(vmIds: readonly string[], message: VmMessage): void;
   /** @returns Who links to whom. */
@@ -86,83 +86,83 @@
   stop(): void;
 }
 
-const REPORT_MS = 800;
+const REPORT_INTERVAL_MS = 800;
 /** Least pause between two messages that a topic is current. */
-const READ_NEWS_MS = 250;
+const MIN_READ_MESSAGE_INTERVAL_MS = 250;
 /** After that time a VM that is found is told of to all. */
-const STARTING_MS = 5_000;
+const STARTUP_MS = 5_000;
 /** Seeds are dialed where the register has not answered by then. */
-const SEEDS_AFTER_MS = 500;
+const SEED_DIAL_DELAY_MS = 500;
 /**
  * VMs that start together have all registered by then. One that lists too soon
  * takes others for its hubs than those that start after it.
  */
-const FIRST_LIST_MS = 800;
+const BOOTSTRAP_LIST_DELAY_MS = 800;
 
 /**
  * @param parts What the mesh needs.
  * @returns The running mesh.
  */
-export function startMesh(parts: MeshParts): Mesh {
-  const { self, table, board, clock, log } = parts;
+export function startMesh(parts: MeshOptions): Mesh {
+  const { self, table, factStore: board, clock, log } = parts;
   const links = createLinkSet(clock);
   const startedAtMs = clock.monotonicMs();
   const repair = createFactRepair(parts);
-  const toldReadAtMs = new Map<SourceTopic, number>();
-  const options = {
+  const readSentAtMs = new Map<SourceTopic, number>();
+  const linkOptions = {
     schema: vmMessageSchema,
     clock,
     isSelfContained: true,
     events: { onOpen, onMessage, onClose },
   };
-  const dialing = createDialing({
+  const dialer = createDialer({
     self,
     table,
     clock,
     log,
     links,
     seeds: parts.seeds,
-    isSeedTime: () =>
+    canDialSeeds: () =>
       discovery.hasListed() ||
-      clock.monotonicMs() - startedAtMs >= listAfterMs + SEEDS_AFTER_MS,
-    dial: (address) => keepLink(address, options),
+      clock.monotonicMs() - startedAtMs >= listAfterMs + SEED_DIAL_DELAY_MS,
+    dial: (address) => keepLink(address, linkOptions),
   });
   const views = createHubViews({
     ...parts,
     links,
-    getTopology: dialing.getTopology,
-    actsAsHub: dialing.actsAsHub,
+    getTopology: dialer.getTopology,
+    actsAsHub: dialer.actsAsHub,
   });
-  const proofs = createProofTeller({
+  const proofs = createProofSender({
     ...parts,
     links,
     isNeeded: parts.needsProofs,
-    isRelay: () => dialing.actsAsHub(),
+    isRelay: () => dialer.actsAsHub(),
   });
   const payloads = createPayloadReceiver({
     ...parts,
     links,
-    isRelay: () => !dialing.getTopology().isFullMesh && dialing.actsAsHub(),
+    isRelay: () => !dialer.getTopology().isFullMesh && dialer.actsAsHub(),
   });
   /** What every linked VM was told of this one. */
-  let told: VmReport | undefined;
-  const listAfterMs = parts.startsWithAll ? FIRST_LIST_MS : 0;
+  let reported: VmReport | undefined;
+  const listAfterMs = parts.isFleetBootstrap ? BOOTSTRAP_LIST_DELAY_MS : 0;
 
   function onOpen(link: VmLink): void {
     links.add(link);
     const members = table.countKnown();
     link.send({ kind: "hello", identity: self, members });
-    const report = { ...parts.makeReport(), ...proofs.makeQuestion() };
+    const report = { ...parts.makeReport(), ...proofs.makeRequest() };
     link.send({ kind: "report", ...report });
   }
 
   function onClose(link: VmLink, reason: string): void {
     const lost = links.remove(link);
     if (lost === undefined) return;
-    table.noteSilent(lost.id);
+    table.recordDisconnect(lost.id);
     table.dropView(lost.id);
     log.info({ member: lost.id, peer: link.peer, reason }, "VM lost");
-    views.tellSoon();
+    views.scheduleChanges();
   }
 
   function onMessage(link: VmLink, message: VmMessage): void {
@@ -176,7 +176,7 @@
     if (message.kind === "proof") proofs.receiveProof(link, message);
     if (message.kind === "read") receiveRead(state, message);
     if (message.kind === "view") receiveView(link, state, message);
-    if (message.kind === "want_view") sendWholeView(link, state);
+    if (message.kind === "want_view") sendViewSnapshot(link, state);
     payloads.receive(link, state.identity, message);
   }
 
@@ -187,23 +187,23 @@
   ): void {
     const before = table.get(identity.id)?.identity.incarnation;
     state.identity = identity;
-    table.noteHello(identity);
+    table.recordHello(identity);
     if (before !== identity.incarnation) {
       const { id, region, frontAddress } = identity;
       log.info({ member: id, region, frontAddress }, "VM found");
     }
     if (
-      before === undefined && hasSettled() && dialing.getTopology().isFullMesh
+      before === undefined && hasSettled() && dialer.getTopology().isFullMesh
     ) {
       links.send({ kind: "members", members: [identity] });
     }
     if (members < table.countKnown()) {
       link.send({ kind: "members", members: listIdentities() });
     }
-    if (dialing.actsAsHub()) views.sendAll(link, identity);
+    if (dialer.actsAsHub()) views.sendSnapshot(link, identity);
     parts.onFound(identity);
-    dialing.lookSoon();
-    views.tellSoon();
+    dialer.scheduleUpdate();
+    views.scheduleChanges();
   }
 
   function receiveView(
@@ -215,13 +215,15 @@
     const isKnown = table.applyView(identity.id, view);
     if (!isKnown) return link.send({ kind: "want_view" });
     if (view.up.length + view.gone.length === 0) return;
-    dialing.lookSoon();
-    views.tellSoon();
+    dialer.scheduleUpdate();
+    views.scheduleChanges();
   }
 
   function receiveMembers(members: readonly VmIdentity[]): void {
-    const found = members.filter((identity) => table.noteHeardOf(identity));
-    if (found.length > 0) dialing.look();
+    const found = members.filter((identity) =>
+      table.recordDiscovered(identity)
+    );
+    if (found.length > 0) dialer.updateLinks();
   }
 
   function receiveReport(
@@ -230,12 +232,12 @@
     message: Extract<VmMessage, { kind: "report" }>,
   ): void {
     if (state.identity === undefined) return;
-    proofs.receiveQuestion(link, message);
+    proofs.receiveRequest(link, message);
     const { id } = state.identity;
     const before = table.get(id)?.state;
-    table.noteReport(id, message);
+    table.recordReport(id, message);
     const member = table.get(id);
-    if (member?.state !== before) views.tellSoon();
+    if (member?.state !== before) views.scheduleChanges();
     if (member?.report === undefined) return;
     for (const topic of TOPICS) {
       repair.compare(state.facts, topic, member.report.digests[topic]);
@@ -249,8 +251,8 @@
     if (repair.compare(state.facts, topic, digest)) return;
     board.noteCurrent(topic, 0);
     // Told on once only: passed back and forth it would stay current for ever.
-    if (isOwn && !dialing.getTopology().isFullMesh && dialing.actsAsHub()) {
-      tellRead(topic, false);
+    if (isOwn && !dialer.getTopology().isFullMesh && dialer.actsAsHub()) {
+      sendRead(topic, false);
     }
   }
 
@@ -258,8 +260,8 @@
     link.send(makeTopicMessage(board, topic));
   }
 
-  function sendWholeView(link: VmLink, { identity }: LinkState): void {
-    if (identity !== undefined) views.sendAll(link, identity);
+  function sendViewSnapshot(link: VmLink, { identity }: LinkState): void {
+    if (identity !== undefined) views.sendSnapshot(link, identity);
   }
 
   function listIdentities(): VmIdentity[] {
@@ -267,70 +269,73 @@
   }
 
   function hasSettled(): boolean {
-    return clock.monotonicMs() - startedAtMs >= STARTING_MS;
+    return clock.monotonicMs() - startedAtMs >= STARTUP_MS;
   }
 
   function reportNow(): void {
-    const changed = pickChangedParts(told, parts.makeReport());
-    links.send({ kind: "report", ...changed, ...proofs.makeQuestion() });
-    told = mergeParts(told, changed);
+    const changed = diffReport(reported, parts.makeReport());
+    links.send({ kind: "report", ...changed, ...proofs.makeRequest() });
+    reported = mergeReport(reported, changed);
   }
 
   /** Tells that facts are current, though nothing changed. */
-  function tellRead(topic: SourceTopic, isOwn: boolean): void {
+  function sendRead(topic: SourceTopic, isOwn: boolean): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - (toldReadAtMs.get(topic) ?? -Infinity) < READ_NEWS_MS) return;
-    toldReadAtMs.set(topic, nowMs);
+    if (
+      nowMs - (readSentAtMs.get(topic) ?? -Infinity) <
+        MIN_READ_MESSAGE_INTERVAL_MS
+    ) return;
+    readSentAtMs.set(topic, nowMs);
     links.send({ kind: "read", topic, digest: board.getDigest(topic), isOwn });
   }
 
   /** In a large fleet hubs look for VMs, and who is linked to none. */
-  function mayKnowTooFew(): boolean {
-    const topology = dialing.getTopology();
+  function mayMissVms(): boolean {
+    const topology = dialer.getTopology();
     return topology.isFullMesh || isHub(topology, self) || links.isEmpty();
   }
 
-  acceptLinks(parts.server, options);
-  const timer = clock.every(REPORT_MS, () => {
+  acceptLinks(parts.server, linkOptions);
+  const timer = clock.every(REPORT_INTERVAL_MS, () => {
     links.closeSilent();
     table.prune();
-    dialing.look();
+    dialer.updateLinks();
     reportNow();
-    views.tell();
+    views.sendChanges();
   });
   const discovery = startDiscovery({
     ...parts,
     listAfterMs,
     countKnown: () => table.countKnown(),
     getEpoch: () => board.getEpoch("operations"),
-    isWanted: mayKnowTooFew,
+    shouldList: mayMissVms,
     isAlone: links.isEmpty,
     onListed: (members) => {
       receiveMembers(members);
-      dialing.look();
+      dialer.updateLinks();
     },
   });
 
   return {
-    passOn: (items) => links.send(makeNewsMessage(board, items)),
-    tellServerRateLimits: (rates) =>
+    broadcastFacts: (items) => links.send(makeFactMessage(board, items)),
+    broadcastServerRateLimits: (rates) =>
       links.send({ kind: "server_rate_limits", rates }),
-    noteRead(topic) {
-      tellRead(topic, true);
-      if (topic === "operations") proofs.tell();
+    announceRead(topic) {
+      sendRead(topic, true);
+      if (topic === "operations") proofs.sendProofs();
     },
-    reportNow,
+    sendReport: reportNow,
     sendTo(vmIds, message) {
       const wanted = new Set(vmIds);
       links.sendWhere(message, ({ id }) => wanted.has(id));
     },
-    getTopology: dialing.getTopology,
+    getTopology: dialer.getTopology,
     getDemand: views.getDemand,
     hasListed: discovery.hasListed,
     stop() {
       timer.cancel();
       discovery.stop();
-      dialing.stop();
+      dialer.stop();
       links.close();
     },
   };
--- a/src/members/mesh_test.ts
+++ b/src/members/mesh_test.ts
@@ -13,14 +13,14 @@
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
 import { createMemberTable } from "./table.ts";
 import type { TopicDigest } from "../news/types.ts";
-import { type VmIdentity, VmRegister } from "./types.ts";
+import { type VmIdentity, VmRegistry } from "./types.ts";
 import { packNews } from "../news/wire_form.ts";
 import { makeVersion } from "../news/version.ts";
 
 const clock = createSystemClock();
 const ACTIVITY: Activity = { asked: [1, 2], forgotten: [], running: [3, 4] };
 
-class EmptyRegister extends VmRegister {
+class EmptyRegister extends VmRegistry {
   override register(): Promise<undefined> {
     return Promise.resolve(undefined);
   }
@@ -49,15 +49,15 @@
   const mesh = startMesh({
     self: makeIdentity("self", http.address),
     table: createMemberTable("self", clock),
-    board,
+    factStore: board,
     knowledge: createKnowledge({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
-    register: new EmptyRegister(),
+    registry: new EmptyRegister(),
     clock,
     log: createSilentLog(),
     server: http.server,
     seeds: [],
-    startsWithAll: false,
+    isFleetBootstrap: false,
     makeReport: () => ({
       state: "serving",
       demandPerS: {},
@@ -112,7 +112,7 @@
 test("news reach a link whose VM has not said yet who it is", async () => {
   const { address, mesh, stop } = await startTestMesh();
   const link = await openLink(address);
-  mesh.passOn([makeServerNews(makeServer("1"), 1)]);
+  mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
   await sleep(200);
   const isReached = hasNews(link.received);
   link.close();
@@ -128,7 +128,7 @@
     await openLink(address, identity),
   ];
   await sleep(100);
-  mesh.passOn([makeServerNews(makeServer("1"), 1)]);
+  mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
   await sleep(200);
   const reached = links.map((link) => hasNews(link.received));
   links.forEach((link) => link.close());
@@ -217,7 +217,7 @@
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   for (let count = 0; count < 140; count++) {
     board.apply([makeServerNews(makeServer(`${count}`), 1)]);
-    mesh.reportNow();
+    mesh.sendReport();
   }
   const listFacts = () =>
     link.received.flatMap((message) =>
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -44,17 +44,17 @@
   ) => RateLimitNews[];
 }
 
-type NewsMessage = Extract<VmMessage, { kind: "news" }>;
+type FactMessage = Extract<VmMessage, { kind: "news" }>;
 
 /**
  * @param board All facts of this VM.
  * @param items Some of them.
  * @returns The message that tells them.
  */
-export function makeNewsMessage(
+export function makeFactMessage(
   board: NewsBoard,
   items: readonly NewsItem[],
-): NewsMessage {
+): FactMessage {
   const epochs = {
     operations: board.listEpochs("operations"),
     servers: board.listEpochs("servers"),
@@ -67,15 +67,15 @@
  * @param topic A topic.
  * @returns The message that tells all of it.
  */
-export function makeTopicMessage(board: NewsBoard, topic: Topic): NewsMessage {
-  const message = makeNewsMessage(board, board.listTopic(topic));
+export function makeTopicMessage(board: NewsBoard, topic: Topic): FactMessage {
+  const message = makeFactMessage(board, board.listTopic(topic));
   const isWhole = topic !== "suspects" && board.isComplete(topic);
   return isWhole ? { ...message, whole: topic } : message;
 }
 
 /** What receiving needs. */
-export interface PayloadParts extends PayloadListeners {
-  board: NewsBoard;
+export interface PayloadOptions extends PayloadListeners {
+  factStore: NewsBoard;
   links: LinkSet;
   log: Log;
   /** Whether VMs hear of what others told by way of this one. */
@@ -100,12 +100,12 @@
  * @param parts What receiving needs.
  * @returns The receiver.
  */
-export function createPayloadReceiver(parts: PayloadParts): PayloadReceiver {
-  const { board, links, log } = parts;
+export function createPayloadReceiver(parts: PayloadOptions): PayloadReceiver {
+  const { factStore: board, links, log } = parts;
 
   function receiveNews(
     link: VmLink,
-    { items, epochs, whole }: NewsMessage,
+    { items, epochs, whole }: FactMessage,
   ): void {
     for (const topic of SOURCE_TOPICS) {
       board.noteEpochs(topic, epochs?.[topic] ?? []);
@@ -116,7 +116,7 @@
       : board.applySettled(whole, told);
     if (news.length === 0) return;
     logConfiguration(link, news);
-    passOn(link, makeNewsMessage(board, news));
+    passOn(link, makeFactMessage(board, news));
   }
 
   function logConfiguration(link: VmLink, news: readonly NewsItem[]): void {
--- a/src/members/proofs.ts
+++ b/src/members/proofs.ts
@@ -13,7 +13,7 @@
 import type { LinkSet, VmLink } from "./link_set.ts";
 
 /** What a VM shows in its reports. */
-export interface ProofQuestion {
+export interface ProofRequest {
   stamp?: number;
   knowledgeAgeMs?: number;
 }
@@ -22,7 +22,7 @@
 export type ProofMessage = Omit<Proof, "version"> & { configuration?: number };
 
 /** What telling needs. */
-export interface ProofTellerParts {
+export interface ProofSenderOptions {
   clock: Clock;
   links: LinkSet;
   knowledge: Knowledge;
@@ -33,29 +33,29 @@
 }
 
 /** Tells and asks. */
-export interface ProofTeller {
+export interface ProofSender {
   /** @returns What a report shows, so that others can answer. */
-  makeQuestion(): ProofQuestion;
-  receiveQuestion(link: VmLink, question: ProofQuestion): void;
+  makeRequest(): ProofRequest;
+  receiveRequest(link: VmLink, question: ProofRequest): void;
   receiveProof(link: VmLink, message: ProofMessage): void;
   /** Tells all VMs that are linked, but for one. */
-  tell(except?: VmLink): void;
+  sendProofs(except?: VmLink): void;
 }
 
 /** Least pause between two tellings. */
-const TELL_PAUSE_MS = 250;
+const MIN_SEND_INTERVAL_MS = 250;
 /** VMs whose knowledge is no older are told in time anyway. */
-const HELPED_AGE_MS = 1_500;
+const MIN_ANSWERED_AGE_MS = 1_500;
 /** A proof is worth a message where it makes knowledge newer by this. */
-const HELPING_GAIN_MS = 500;
+const MIN_ANSWER_GAIN_MS = 500;
 
 /**
  * VMs of earlier versions take this for a configuration that they lack: they
  * counted by the source's numbers, which prove nothing after a restore.
  */
-const NEVER_KNOWN = Number.MAX_SAFE_INTEGER;
+const UNMATCHED_VERSION = Number.MAX_SAFE_INTEGER;
 
-interface Question {
+interface StoredRequest {
   stamp: number;
   arrivedAt: Instant;
 }
@@ -64,42 +64,47 @@
  * @param parts What telling needs.
  * @returns A teller that was asked nothing.
  */
-export function createProofTeller(parts: ProofTellerParts): ProofTeller {
+export function createProofSender(parts: ProofSenderOptions): ProofSender {
   const { clock, links, knowledge } = parts;
-  const questions = new WeakMap<VmLink, Question>();
-  let toldAtMs = -Infinity;
+  const lastRequests = new WeakMap<VmLink, StoredRequest>();
+  let sentAtMs = -Infinity;
 
   function answer(link: VmLink): void {
-    const question = questions.get(link);
+    const question = lastRequests.get(link);
     if (question === undefined) return;
     const proof = knowledge.makeProof(question.stamp, question.arrivedAt);
     if (proof === undefined) return;
     const { version: configuration, ...rest } = proof;
-    link.send({ kind: "proof", ...rest, configuration, version: NEVER_KNOWN });
+    link.send({
+      kind: "proof",
+      ...rest,
+      configuration,
+      version: UNMATCHED_VERSION,
+    });
   }
 
   function tell(except?: VmLink): void {
     const nowMs = clock.monotonicMs();
-    if (!parts.isNeeded() || nowMs - toldAtMs < TELL_PAUSE_MS) return;
-    toldAtMs = nowMs;
+    if (!parts.isNeeded() || nowMs - sentAtMs < MIN_SEND_INTERVAL_MS) return;
+    sentAtMs = nowMs;
     links.forEach((link) => {
       if (link !== except) answer(link);
     });
   }
 
   return {
-    makeQuestion() {
+    makeRequest() {
       if (!parts.isNeeded()) return {};
       const stamp = knowledge.makeStamp();
       const ageMs = knowledge.getAgeMs();
       return ageMs === Infinity ? { stamp } : { stamp, knowledgeAgeMs: ageMs };
     },
-    receiveQuestion(link, { stamp, knowledgeAgeMs = Infinity }) {
+    receiveRequest(link, { stamp, knowledgeAgeMs = Infinity }) {
       if (stamp === undefined) return;
-      questions.set(link, { stamp, arrivedAt: knowledge.getInstant() });
-      const isLate = knowledgeAgeMs > HELPED_AGE_MS;
+      lastRequests.set(link, { stamp, arrivedAt: knowledge.getInstant() });
+      const isLate = knowledgeAgeMs > MIN_ANSWERED_AGE_MS;
       const gainMs = knowledgeAgeMs - knowledge.getAgeMs();
-      if (isLate && gainMs > HELPING_GAIN_MS) answer(link);
+      if (isLate && gainMs > MIN_ANSWER_GAIN_MS) answer(link);
     },
     receiveProof(link, { configuration, ageMs, stamp, heldMs }) {
       if (configuration === undefined) return;
@@ -107,6 +112,6 @@
       const isNews = knowledge.noteProof(proof);
       if (isNews && parts.isRelay()) tell(link);
     },
-    tell,
+    sendProofs: tell,
   };
 }
--- a/src/members/proofs_test.ts
+++ b/src/members/proofs_test.ts
@@ -4,7 +4,7 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createLinkSet, type VmLink } from "./link_set.ts";
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
-import { createProofTeller } from "./proofs.ts";
+import { createProofSender } from "./proofs.ts";
 
 function startVm(configuration: number) {
   const clock = createFakeClock();
@@ -19,7 +19,7 @@
     sendFrame: () => {},
     close: () => {},
   };
-  const teller = createProofTeller({
+  const teller = createProofSender({
     clock,
     links: createLinkSet(clock),
     knowledge,
@@ -34,8 +34,8 @@
   const reader = startVm(7);
   const asking = startVm(7);
   reader.knowledge.noteReading(reader.knowledge.getInstant());
-  const { stamp } = asking.teller.makeQuestion();
-  reader.teller.receiveQuestion(reader.link, { stamp });
+  const { stamp } = asking.teller.makeRequest();
+  reader.teller.receiveRequest(reader.link, { stamp });
   const [message] = reader.sent;
   assert.is(message.kind, "proof");
   return { asking, message: message as Extract<VmMessage, { kind: "proof" }> };
--- a/src/members/repair.ts
+++ b/src/members/repair.ts
@@ -17,7 +17,7 @@
   /** Its address, for logs. */
   peer: string;
   /** Asks it for all facts of a topic. */
-  ask(topic: Topic): void;
+  requestTopic(topic: Topic): void;
 }
 
 /** Compares this VM's facts with those of others. */
@@ -32,8 +32,8 @@
 }
 
 /** What a repair needs. */
-export interface FactRepairParts {
-  board: NewsBoard;
+export interface FactRepairOptions {
+  factStore: NewsBoard;
   clock: Clock;
   log: Log;
 }
@@ -43,12 +43,12 @@
  * and a round trip (70 ms) at most. A difference that lasts this long is none
  * of these, and leaves time to be in force within the shortest limit (2 s).
  */
-const DIFFERENT_MS = 1_000;
+const DIVERGENCE_TIMEOUT_MS = 1_000;
 /** One VM is asked at a time; an answer takes a round trip. */
-const ASK_AGAIN_MS = 500;
+const REQUEST_PAUSE_MS = 500;
 
 /** Whether another VM has lived through a restore before this one began. */
-function knowsEarlier(
+function hasEarlierEpoch(
   { epochs = [] }: TopicDigest,
   own: readonly EpochStart[],
 ): boolean {
@@ -60,8 +60,8 @@
  * @param parts What the repair needs.
  * @returns A repair that has compared nothing.
  */
-export function createFactRepair(parts: FactRepairParts): FactRepair {
-  const { board, clock, log } = parts;
+export function createFactRepair(parts: FactRepairOptions): FactRepair {
+  const { factStore: board, clock, log } = parts;
   const askedAtMs = new Map<Topic, number>();
   const differentSinceMs = new WeakMap<FactPeer, Map<Topic, number>>();
 
@@ -75,15 +75,15 @@
 
   function ask(other: FactPeer, topic: Topic): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - (askedAtMs.get(topic) ?? -Infinity) < ASK_AGAIN_MS) return;
+    if (nowMs - (askedAtMs.get(topic) ?? -Infinity) < REQUEST_PAUSE_MS) return;
     askedAtMs.set(topic, nowMs);
     log.info({ peer: other.peer, topic }, "facts differ, asking");
-    other.ask(topic);
+    other.requestTopic(topic);
   }
 
   return {
     compare(other, topic, digest) {
-      const startedLater = knowsEarlier(digest, board.listEpochs(topic));
+      const startedLater = hasEarlierEpoch(digest, board.listEpochs(topic));
       board.noteEpochs(topic, digest.epochs ?? []);
       const own = board.getDigest(topic);
       const since = getSince(other);
@@ -95,7 +95,7 @@
       const sinceMs = since.get(topic) ?? nowMs;
       since.set(topic, sinceMs);
       const isLacking = own.facts === 0 || startedLater ||
-        nowMs - sinceMs >= DIFFERENT_MS;
+        nowMs - sinceMs >= DIVERGENCE_TIMEOUT_MS;
       if (isLacking && digest.facts > 0) ask(other, topic);
       return isLacking;
     },
--- a/src/members/repair_test.ts
+++ b/src/members/repair_test.ts
@@ -12,9 +12,16 @@
 function startRepair() {
   const clock = createFakeClock();
   const board = createNewsBoard(clock);
-  const repair = createFactRepair({ board, clock, log: createSilentLog() });
+  const repair = createFactRepair({
+    factStore: board,
+    clock,
+    log: createSilentLog(),
+  });
   const asked: Topic[] = [];
-  const peer = { peer: "a", ask: (topic: Topic) => void asked.push(topic) };
+  const peer = {
+    peer: "a",
+    requestTopic: (topic: Topic) => void asked.push(topic),
+  };
   return { clock, board, repair, asked, peer };
 }
 
--- a/src/members/report_parts.ts
+++ b/src/members/report_delta.ts
@@ -11,23 +11,23 @@
 import type { VmReport } from "./types.ts";
 
 /** The parts of a report that a receiver doesn't know yet. */
-export type ReportParts = Partial<VmReport>;
+export type ReportDelta = Partial<VmReport>;
 
 /** Changes of demand below this part, or this many a second, are left out. */
-const DEMAND_PART = 0.15;
-const DEMAND_PER_S = 1;
+const MIN_DEMAND_CHANGE_SHARE = 0.15;
+const MIN_DEMAND_CHANGE_PER_S = 1;
 
 /**
  * @param told What the receivers know; undefined for new ones.
  * @param now How the VM is.
  * @returns What they have to be told.
  */
-export function pickChangedParts(
+export function diffReport(
   told: VmReport | undefined,
   now: VmReport,
-): ReportParts {
+): ReportDelta {
   if (told === undefined) return now;
-  const parts: ReportParts = {};
+  const parts: ReportDelta = {};
   if (told.state !== now.state) parts.state = now.state;
   if (hasDemandChanged(told.demandPerS, now.demandPerS)) {
     parts.demandPerS = now.demandPerS;
@@ -45,9 +45,9 @@
  * @param parts What came.
  * @returns The whole report; undefined while parts of it never came.
  */
-export function mergeParts(
+export function mergeReport(
   known: VmReport | undefined,
-  parts: ReportParts,
+  parts: ReportDelta,
 ): VmReport | undefined {
   const state = parts.state ?? known?.state;
   const demandPerS = parts.demandPerS ?? known?.demandPerS;
@@ -64,6 +64,7 @@
   return [...services].some((service) => {
     const before = told[service] ?? 0;
     const change = Math.abs((now[service] ?? 0) - before);
-    return change > Math.max(DEMAND_PER_S, before * DEMAND_PART);
+    return change >
+      Math.max(MIN_DEMAND_CHANGE_PER_S, before * MIN_DEMAND_CHANGE_SHARE);
   });
 }
--- a/src/members/report_parts_test.ts
+++ b/src/members/report_delta_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { mergeParts, pickChangedParts } from "./report_parts.ts";
+import { diffReport, mergeReport } from "./report_delta.ts";
 import type { VmReport } from "./types.ts";
 
 function makeReport(changes: Partial<VmReport> = {}): VmReport {
@@ -14,12 +14,12 @@
 }
 
 test("a receiver that knows nothing is told all", () => {
-  assert.equal(pickChangedParts(undefined, makeReport()), makeReport());
+  assert.equal(diffReport(undefined, makeReport()), makeReport());
 });
 
 test("what hardly changed is left out", () => {
   const now = makeReport({ demandPerS: { s: 21 } });
-  assert.equal(pickChangedParts(makeReport(), now), {});
+  assert.equal(diffReport(makeReport(), now), {});
 });
 
 const CHANGES: Partial<VmReport>[] = [
@@ -46,14 +46,14 @@
 for (const change of CHANGES) {
   test(`${JSON.stringify(change)} is told and merged`, () => {
     const now = makeReport(change);
-    const parts = pickChangedParts(makeReport(), now);
+    const parts = diffReport(makeReport(), now);
     assert.equal(parts, change);
-    assert.equal(mergeParts(makeReport(), parts), now);
+    assert.equal(mergeReport(makeReport(), parts), now);
   });
 }
 
 test("parts of a report whose rest never came give none", () => {
-  assert.is(mergeParts(undefined, { state: "serving" }), undefined);
+  assert.is(mergeReport(undefined, { state: "serving" }), undefined);
 });
 
 test.run();
--- a/src/members/table.ts
+++ b/src/members/table.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import { mergeParts, type ReportParts } from "./report_parts.ts";
+import { mergeReport, type ReportDelta } from "./report_delta.ts";
 import type {
   FleetView,
   ViewScope,
@@ -27,12 +27,12 @@
 /** The VMs that this one knows. */
 export interface MemberTable {
   /** Notes a VM that another one or the register told of. */
-  noteHeardOf(identity: VmIdentity): boolean;
+  recordDiscovered(identity: VmIdentity): boolean;
   /** Notes a VM that speaks to this one. */
-  noteHello(identity: VmIdentity): void;
-  noteReport(id: string, parts: ReportParts): void;
+  recordHello(identity: VmIdentity): void;
+  recordReport(id: string, parts: ReportDelta): void;
   /** Notes that the link to a VM broke. */
-  noteSilent(id: string): void;
+  recordDisconnect(id: string): void;
   /**
    * Takes in what a hub tells of VMs.
    *
@@ -56,14 +56,14 @@
    * @returns VMs that are up, and those heard of so lately that nobody can say;
    *   all of a region of which none is up.
    */
-  listPossible(): VmIdentity[];
+  listHubCandidates(): VmIdentity[];
   /** @returns Those of them that serve clients. */
   listServing(): VmIdentity[];
   /**
    * @returns VMs that are linked here or to another hub. What hubs tell their
    *   region is left out: told on, they would vouch for each other's word.
    */
-  listVouched(): Member[];
+  listLinkedToAnyHub(): Member[];
   /** @returns Demand that hubs told of lately in views of a scope. */
   listDemands(scope: ViewScope): FleetView["demandPerS"][];
   /** Forgets VMs that nobody heard for long. */
@@ -71,15 +71,15 @@
 }
 
 /** A VM that was silent for this long counts as down: two reports and a half. */
-export const SILENCE_LIMIT_MS = 2_000;
+export const PEER_TIMEOUT_MS = 2_000;
 /** VMs that can't be reached for this long are not dialed any more. */
-const FORGET_MS = 600_000;
+const MEMBER_RETENTION_MS = 600_000;
 /** A VM that is up is linked to a hub, and told of, this soon. */
-const UNHEARD_MS = 4_000;
+const UNCONFIRMED_TTL_MS = 4_000;
 /** Time for which a list of VMs is kept where nothing was heard to change. */
-const LIST_VALID_MS = 100;
+const LIST_TTL_MS = 100;
 
-interface KnownVm {
+interface MemberRecord {
   identity: VmIdentity;
   report: VmReport | undefined;
   heardAtMs: number | undefined;
@@ -100,14 +100,14 @@
  * @returns A table without VMs.
  */
 export function createMemberTable(ownId: string, clock: Clock): MemberTable {
-  const members = new Map<string, KnownVm>();
+  const members = new Map<string, MemberRecord>();
   const views = new Map<string, HubView>();
   let alive: Member[] | undefined;
   let aliveAtMs = 0;
 
   function isRecent(heardAtMs: number | undefined): boolean {
     return heardAtMs !== undefined &&
-      clock.monotonicMs() - heardAtMs < SILENCE_LIMIT_MS;
+      clock.monotonicMs() - heardAtMs < PEER_TIMEOUT_MS;
   }
 
   function put(identity: VmIdentity, heardAtMs: number | undefined): void {
@@ -118,7 +118,7 @@
     alive = undefined;
   }
 
-  function toMember({ identity, report, heardAtMs }: KnownVm): Member {
+  function toMember({ identity, report, heardAtMs }: MemberRecord): Member {
     return { identity, state: report?.state, report, heardAtMs };
   }
 
@@ -151,7 +151,7 @@
 
   function listAlive(): Member[] {
     const nowMs = clock.monotonicMs();
-    if (alive === undefined || nowMs - aliveAtMs > LIST_VALID_MS) {
+    if (alive === undefined || nowMs - aliveAtMs > LIST_TTL_MS) {
       alive = collect(["linked", "fleet"]);
       aliveAtMs = nowMs;
     }
@@ -170,7 +170,7 @@
   }
 
   return {
-    noteHeardOf(identity) {
+    recordDiscovered(identity) {
       if (identity.id === ownId) return false;
       const known = members.get(identity.id);
       if (known !== undefined) {
@@ -180,18 +180,18 @@
       put(identity, undefined);
       return true;
     },
-    noteHello(identity) {
+    recordHello(identity) {
       if (identity.id !== ownId) put(identity, clock.monotonicMs());
     },
-    noteReport(id, parts) {
+    recordReport(id, parts) {
       const member = members.get(id);
       if (member === undefined) return;
       const before = member.report?.state;
-      member.report = mergeParts(member.report, parts);
+      member.report = mergeReport(member.report, parts);
       member.heardAtMs = clock.monotonicMs();
       if (member.report?.state !== before) alive = undefined;
     },
-    noteSilent(id) {
+    recordDisconnect(id) {
       const member = members.get(id);
       if (member !== undefined) member.heardAtMs = undefined;
       alive = undefined;
@@ -221,11 +221,11 @@
     countKnown: () => members.size,
     listLinked,
     listAlive,
-    listPossible() {
+    listHubCandidates() {
       const alive = listAlive().map(({ identity }) => identity);
       const ids = new Set(alive.map(({ id }) => id));
       const regions = new Set(alive.map(({ region }) => region));
-      const limitMs = clock.monotonicMs() - UNHEARD_MS;
+      const limitMs = clock.monotonicMs() - UNCONFIRMED_TTL_MS;
       const others = [...members.values()].filter((member) =>
         !ids.has(member.identity.id) &&
         (member.knownSinceMs > limitMs || !regions.has(member.identity.region))
@@ -236,11 +236,11 @@
       listAlive()
         .filter(({ state }) => state === "serving")
         .map(({ identity }) => identity),
-    listVouched: () => collect(["linked"]),
+    listLinkedToAnyHub: () => collect(["linked"]),
     listDemands: (scope) =>
       listViews([scope]).map(({ demandPerS }) => demandPerS),
     prune() {
-      const limitMs = clock.monotonicMs() - FORGET_MS;
+      const limitMs = clock.monotonicMs() - MEMBER_RETENTION_MS;
       const aliveIds = new Set(listAlive().map(({ identity }) => identity.id));
       for (const [id, member] of members) {
         const lastMs = Math.max(member.heardAtMs ?? 0, member.knownSinceMs);
--- a/src/members/types.ts
+++ b/src/members/types.ts
@@ -58,7 +58,7 @@
 }
 
 /** Where VMs register so that others find them. Calls throw StepError. */
-export abstract class VmRegister {
+export abstract class VmRegistry {
   /**
    * @param identity The VM to register; replaces its earlier entry.
    * @returns The epoch of the register that holds it; undefined where the
--- a/src/members/view_teller.ts
+++ b/src/members/view_sender.ts
@@ -7,28 +7,28 @@
 import type { FleetView, ViewScope, VmIdentity, VmState } from "./types.ts";
 
 /** A VM as a hub tells of it. */
-export interface ToldVm {
+export interface ReportedVm {
   identity: VmIdentity;
   state: VmState;
 }
 
 /** Tells of VMs. */
-export interface ViewTeller {
+export interface ViewSender {
   /**
    * @param vms The VMs that are up.
    * @param demandPerS Demand of their clients.
    * @returns What changed since the last call.
    */
   update(
-    vms: readonly ToldVm[],
+    vms: readonly ReportedVm[],
     demandPerS: FleetView["demandPerS"],
   ): FleetView;
   /** @returns All that was told so far, for a new link. */
-  tellAll(): FleetView;
+  makeSnapshot(): FleetView;
 }
 
 /** Views of both scopes on one link are told apart by their revisions. */
-const FIRST_REVISION: Record<ViewScope, number> = {
+const INITIAL_REVISION: Record<ViewScope, number> = {
   linked: 1,
   fleet: 1_000_000_000,
 };
@@ -37,13 +37,13 @@
  * @param scope Which VMs it tells of.
  * @returns A teller that told of nobody.
  */
-export function createViewTeller(scope: ViewScope): ViewTeller {
-  let told = new Map<string, ToldVm>();
-  let toldDemandPerS: FleetView["demandPerS"] = {};
-  let revision = FIRST_REVISION[scope];
+export function createViewSender(scope: ViewScope): ViewSender {
+  let reported = new Map<string, ReportedVm>();
+  let reportedDemandPerS: FleetView["demandPerS"] = {};
+  let revision = INITIAL_REVISION[scope];
 
-  function isTold({ identity, state }: ToldVm): boolean {
-    const before = told.get(identity.id);
+  function isReported({ identity, state }: ReportedVm): boolean {
+    const before = reported.get(identity.id);
     return before?.state === state &&
       before.identity.incarnation === identity.incarnation;
   }
@@ -51,21 +51,21 @@
   return {
     update(vms, demandPerS) {
       const next = new Map(vms.map((vm) => [vm.identity.id, vm]));
-      const up = vms.filter((vm) => !isTold(vm));
-      const gone = [...told.keys()].filter((id) => !next.has(id));
+      const up = vms.filter((vm) => !isReported(vm));
+      const gone = [...reported.keys()].filter((id) => !next.has(id));
       const base = revision;
       if (up.length + gone.length > 0) revision++;
-      told = next;
-      toldDemandPerS = demandPerS;
+      reported = next;
+      reportedDemandPerS = demandPerS;
       return { scope, base, revision, up, gone, demandPerS };
     },
-    tellAll: () => ({
+    makeSnapshot: () => ({
       scope,
       base: 0,
       revision,
-      up: [...told.values()],
+      up: [...reported.values()],
       gone: [],
-      demandPerS: toldDemandPerS,
+      demandPerS: reportedDemandPerS,
     }),
   };
 }
--- a/src/members/views.ts
+++ b/src/members/views.ts
@@ -21,7 +21,7 @@
    * @returns Whether this VM reads the platform for its region; where there
    *   are hubs, for all regions. The other hubs read as soon as it is late.
    */
-  hasReadDuty(topology: Topology): boolean;
+  isReader(topology: Topology): boolean;
 }
 
 /**
@@ -47,7 +47,7 @@
       listServing()
         .filter((identity) => identity.region === region)
         .map((identity) => identity.id),
-    hasReadDuty({ isFullMesh, hubs }) {
+    isReader({ isFullMesh, hubs }) {
       if (!isFullMesh) {
         const [first] = [...hubs.keys()].sort();
         return hubs.get(first)?.[0].id === self.id;
--- a/src/members/views_test.ts
+++ b/src/members/views_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import { makeVmIdentity } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
-import { arrange } from "./hubs.ts";
+import { buildTopology } from "./hubs.ts";
 import { createMemberTable } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 import { createVmViews } from "./views.ts";
@@ -17,13 +17,13 @@
   const fleet = ["oslo", "bergen"].flatMap((region) =>
     Array.from({ length: perRegion }, (_, index) => makeVm(region, index))
   );
-  const topology = arrange(fleet);
+  const topology = buildTopology(fleet);
   return fleet.filter((self) => {
     const table = createMemberTable(self.id, createFakeClock());
     for (const vm of fleet) {
-      table.noteHello(vm);
+      table.recordHello(vm);
     }
-    return createVmViews(self, table).hasReadDuty(topology);
+    return createVmViews(self, table).isReader(topology);
   });
 }
 
--- a/src/news/restore_model_test.ts
+++ b/src/news/restore_model_test.ts
@@ -190,12 +190,12 @@
   function add(reads: boolean): NewsBoard {
     const board = createNewsBoard(clock);
     boards.push(board);
-    const repair = createFactRepair({ board, clock, log });
+    const repair = createFactRepair({ factStore: board, clock, log });
     const peers = new Map<NewsBoard, FactPeer>();
     const getPeer = (other: NewsBoard): FactPeer => {
       const known = peers.get(other) ?? {
         peer: "",
-        ask: (topic) => tellWhole(other, board, topic as SourceTopic),
+        requestTopic: (topic) => tellWhole(other, board, topic as SourceTopic),
       };
       peers.set(other, known);
       return known;
--- a/src/placement/figures_test.ts
+++ b/src/placement/figures_test.ts
@@ -56,7 +56,7 @@
 test("requests of the region are counted over its VMs and services", () => {
   const { table, reader } = startFigures();
   for (const [id, region] of [["near", "oslo"], ["far", "bergen"]]) {
-    table.noteHello({
+    table.recordHello({
       id,
       incarnation: "1",
       region,
@@ -65,7 +65,7 @@
       peerAddress: "127.0.0.1:2",
       cores: 1,
     });
-    table.noteReport(id, {
+    table.recordReport(id, {
       state: "serving",
       demandPerS: { s: 10 },
       digests: { operations: DIGEST, servers: DIGEST, suspects: DIGEST },
