--- a/src/activity/activity_test.ts
+++ b/src/activity/activity_test.ts
@@ -23,14 +23,14 @@
 
 interface TestVm {
   identity: VmIdentity;
-  memory: ReturnType<typeof createObjectMemory>;
+  cacheModel: ReturnType<typeof createObjectMemory>;
   running: ReturnType<typeof createRunningRequests>;
   sharing: ReturnType<typeof startSharing>;
   own: Map<string, number>;
   isUp: boolean;
 }
 
-/** VMs whose messages arrive at once, and are counted. */
+/** Starts VMs whose messages arrive at once and are counted. */
 function startFleet(clock: FakeClock, sizes: Record<string, number>) {
   const vms = new Map<string, TestVm>();
   let messages = 0;
@@ -41,14 +41,14 @@
     )
   );
   for (const identity of identities) {
-    const memory = createObjectMemory();
+    const cacheModel = createObjectMemory();
     const running = createRunningRequests(clock);
     const own = new Map<string, number>();
     const sharing = startSharing({
       self: identity,
       clock,
       log: createSilentLog(),
-      cacheModel: memory,
+      cacheModel,
       running,
       listServing: () =>
         identities.filter(({ id }) =>
@@ -72,7 +72,7 @@
     });
     vms.set(identity.id, {
       identity,
-      memory,
+      cacheModel,
       running,
       sharing,
       own,
@@ -91,28 +91,28 @@
   return [...own].flatMap(([id, count]) => [hashToUint32(id), count]);
 }
 
-test("a small region tells all to all within 50 ms", () => {
+test("a small region shares activity directly within 50 ms", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 3 });
-  fleet.get("oslo-vm-10").memory.note("oslo-1", "a");
+  fleet.get("oslo-vm-10").cacheModel.note("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 2);
   clock.advance(50);
   for (const id of ["oslo-vm-11", "oslo-vm-12"]) {
-    assert.is(fleet.get(id).memory.getDepth("oslo-1", "a"), 0);
+    assert.is(fleet.get(id).cacheModel.getDepth("oslo-1", "a"), 0);
     assert.is(fleet.get(id).running.getTotal("oslo-1"), 2);
   }
   assert.is(fleet.countMessages(), 2);
   assert.is(fleet.get("oslo-vm-10").running.getTotal("oslo-1"), 0);
 });
 
-test("a small region where nothing happens says nothing", () => {
+test("an idle small region sends nothing", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 3 });
   clock.advance(5_000);
   assert.is(fleet.countMessages(), 0);
 });
 
-test("what runs long is told again before it is forgotten", () => {
+test("reports of long requests are repeated before they expire", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 2 });
   fleet.get("oslo-vm-10").own.set("oslo-1", 1);
@@ -126,25 +126,25 @@
   assert.is(fleet.get("oslo-vm-11").running.getTotal("oslo-1"), 0);
 });
 
-test("a large region tells by way of one VM, with two messages a VM", () => {
+test("a large region shares through a relay, with two messages per VM", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 65 });
   for (let vm = 10; vm < 75; vm++) {
     fleet.get(`oslo-vm-${vm}`).own.set("oslo-1", 1);
   }
-  fleet.get("oslo-vm-20").memory.note("oslo-1", "a");
+  fleet.get("oslo-vm-20").cacheModel.note("oslo-1", "a");
   clock.advance(1_000);
   const atStart = fleet.countMessages();
   clock.advance(200);
   assert.is(fleet.countMessages() - atStart, 2 * 64);
   for (const vm of [10, 20, 74]) {
-    const { memory, running } = fleet.get(`oslo-vm-${vm}`);
-    assert.is(memory.getDepth("oslo-1", "a"), 0);
+    const { cacheModel, running } = fleet.get(`oslo-vm-${vm}`);
+    assert.is(cacheModel.getDepth("oslo-1", "a"), 0);
     assert.is(running.getTotal("oslo-1"), 64, `at ${vm}`);
   }
 });
 
-test("a large fleet without requests is silent", () => {
+test("an idle large fleet sends nothing", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 30, bergen: 30 });
   fleet.get("oslo-vm-10").own.set("oslo-1", 1);
@@ -158,7 +158,7 @@
   assert.is(fleet.countMessages(), before);
 });
 
-test("another VM relays once the one that did is gone", () => {
+test("another VM becomes the relay when the relay is lost", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 30 });
   clock.advance(1_000);
@@ -171,18 +171,18 @@
   assert.is(fleet.get(other).running.getTotal("oslo-1"), 3);
 });
 
-test("regions tell each other of the servers that both send to", () => {
+test("regions share activity of servers that both send to", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 9, bergen: 9, trondheim: 9 });
   const bergen = fleet.get("bergen-vm-10");
   bergen.own.set("oslo-1", 2);
-  bergen.memory.note("oslo-1", "a");
+  bergen.cacheModel.note("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 5);
   fleet.get("trondheim-vm-10").own.set("trondheim-1", 7);
   clock.advance(1_000);
   const near = fleet.get("oslo-vm-11");
   assert.is(near.running.getTotal("oslo-1"), 7);
-  assert.is(near.memory.getDepth("oslo-1", "a"), 0);
+  assert.is(near.cacheModel.getDepth("oslo-1", "a"), 0);
   assert.is(fleet.get("bergen-vm-11").running.getTotal("oslo-1"), 7);
   assert.is(bergen.running.getTotal("oslo-1"), 5);
   const far = fleet.get("trondheim-vm-11");
@@ -190,7 +190,7 @@
   assert.is(near.running.getTotal("trondheim-1"), 0);
 });
 
-test("what a VM told that fell silent holds no more", () => {
+test("reports of a silent VM expire", () => {
   const clock = createFakeClock();
   const running = createRunningRequests(clock);
   running.apply("vm-2", [hashToUint32("1"), 3], false);
@@ -199,13 +199,13 @@
   assert.is(running.getTotal("1"), 0);
 });
 
-test("a VM that starts hears from the relay alone what servers were asked for", () => {
+test("only the relay sends the request history to a VM that starts", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 30 });
   const relayId = fleet.getRelayId("oslo");
   const [first, started] = ["oslo-vm-10", "oslo-vm-11", "oslo-vm-12"]
     .filter((id) => id !== relayId);
-  fleet.get(first).memory.note("oslo-1", "a");
+  fleet.get(first).cacheModel.note("oslo-1", "a");
   clock.advance(1_000);
   const { identity } = fleet.get(started);
   const before = fleet.countMessages();
--- a/src/activity/relay.ts
+++ b/src/activity/relay.ts
@@ -1,10 +1,10 @@
 /**
- * Sums up what the VMs of one region do at backend servers, for those VMs and
- * for other regions.
+ * Aggregates the activity of one region's VMs at backend servers, for those VMs
+ * and for other regions.
  *
- * All to all, 65 VMs of a region would exchange 4,160 messages each time; by
- * way of one of them it is 130. What a VM has to know are servers of its own
- * region, and those elsewhere that VMs of its region send to.
+ * Sent directly, 65 VMs of a region would exchange 4,160 messages each time;
+ * through a relay it is 130. Relevant to a VM are the servers of its own region,
+ * and those of other regions that VMs of its region send to.
  *
  * @module
  */
@@ -13,35 +13,47 @@
 import { addRequests, type RunningRequests } from "./running.ts";
 import type { Activity } from "./types.ts";
 
-/** Sums up activity. */
+/** Aggregates activity. */
 export interface Relay {
-  /** Takes in what a VM of the own region did, this one included. */
+  /**
+   * Adds activity of a VM of the own region, which may be this one.
+   *
+   * @param activity The activity.
+   */
   addOwn(activity: Activity): void;
-  /** Takes in what another region did. */
+  /**
+   * Adds activity of another region.
+   *
+   * @param region The region.
+   * @param activity The activity.
+   */
   addOther(region: string, activity: Activity): void;
-  /** @returns What VMs of the own region have to know, since the last call. */
+  /** @returns What is relevant to VMs of the own region since the last call. */
   takeForOwnRegion(): Activity;
   /**
    * @param region Another region.
-   * @returns What that region has to know, since the last call; undefined where
-   *   neither sends to the other's servers.
+   * @returns What is relevant to that region since the last call; undefined if
+   *   neither region sends to the other's servers.
    */
   takeForRegion(region: string): Activity | undefined;
 }
 
-/** What a relay needs. */
+/** Dependencies of a relay. */
 export interface RelayOptions {
   clock: Clock;
   ownRegion: string;
-  /** Requests of the VMs of the own region, by VM. */
+  /** Running requests of the VMs of the own region, by VM. */
   ownRunning: RunningRequests;
-  /** Requests of other regions, by region. */
+  /** Running requests of other regions, by region. */
   otherRunning: RunningRequests;
-  /** Region of a server, by its hash. */
+  /**
+   * @param serverKey A server's hash.
+   * @returns The server's region; undefined if the server is unknown.
+   */
   getRegion: (serverKey: number) => string | undefined;
 }
 
-/** Regions that sent nothing to each other for this long stop telling. */
+/** Regions that sent each other no requests for this long exchange no activity. */
 const RELATION_TTL_MS = 10_000;
 
 interface Outbox {
@@ -50,14 +62,19 @@
 }
 
 /**
- * @param parts What the relay needs.
- * @returns A relay that was told nothing.
+ * Creates a relay.
+ *
+ * @param options Its dependencies.
+ * @returns A relay without activity.
  */
-export function createRelay(parts: RelayOptions): Relay {
-  const { clock, ownRegion, ownRunning, otherRunning, getRegion } = parts;
+export function createRelay(options: RelayOptions): Relay {
+  const { clock, ownRegion, ownRunning, otherRunning, getRegion } = options;
   let ownRegionOutbox = makeOutbox();
   const outboxByRegion = new Map<string, Outbox>();
-  /** When VMs here last sent to a region, and that region's VMs to this one. */
+  /**
+   * When VMs here last sent to a region, and that region's VMs to this one
+   * (monotonic).
+   */
   const outboundAtMs = new Map<string, number>();
   const inboundAtMs = new Map<string, number>();
 
@@ -111,12 +128,12 @@
     copy(activity, ownRegionOutbox, isRelevantHere);
   }
 
-  function takeForMembers(): Activity {
+  function takeForOwnRegion(): Activity {
     const running = ownRunning.sum();
     addRequests(running, otherRunning.sum());
-    const taken = ownRegionOutbox;
+    const outbox = ownRegionOutbox;
     ownRegionOutbox = makeOutbox();
-    return { ...taken, running: toPairs(running, isRelevantHere) };
+    return { ...outbox, running: toPairs(running, isRelevantHere) };
   }
 
   function takeForRegion(region: string): Activity | undefined {
@@ -134,7 +151,7 @@
     return { ...outbox, running };
   }
 
-  return { addOwn, addOther, takeForOwnRegion: takeForMembers, takeForRegion };
+  return { addOwn, addOther, takeForOwnRegion, takeForRegion };
 }
 
 function makeOutbox(): Outbox {
@@ -144,29 +161,29 @@
 function copy(
   from: Outbox,
   to: Outbox,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): void {
-  copyPairs(from.asked, to.asked, isWanted);
-  copyPairs(from.forgotten, to.forgotten, isWanted);
+  copyPairs(from.asked, to.asked, isRelevant);
+  copyPairs(from.forgotten, to.forgotten, isRelevant);
 }
 
 function copyPairs(
   from: ObjectPairs,
   to: ObjectPairs,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): void {
   forEachPair(from, (serverKey, objectKey) => {
-    if (isWanted(serverKey)) to.push(serverKey, objectKey);
+    if (isRelevant(serverKey)) to.push(serverKey, objectKey);
   });
 }
 
 function toPairs(
   running: ReadonlyMap<number, number>,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): number[] {
   const pairs: number[] = [];
   for (const [key, count] of running) {
-    if (count > 0 && isWanted(key)) pairs.push(key, count);
+    if (count > 0 && isRelevant(key)) pairs.push(key, count);
   }
   return pairs;
 }
--- a/src/activity/running.ts
+++ b/src/activity/running.ts
@@ -1,9 +1,10 @@
 /**
- * Requests that other VMs have at backend servers, as they told a moment ago.
+ * Running requests of other VMs at backend servers, from their recent reports.
  *
- * Load pattern: 195 VMs send to 700 servers, runs last one to ten seconds, and
- * a VM gets an answer of a server every few seconds at most. VMs that went by
- * those answers took servers with two requests a slot for half empty.
+ * With 195 VMs, 700 servers and requests of one to ten seconds, a VM gets an
+ * answer from a given server every few seconds at most. VMs that estimated load
+ * from those answers alone took servers with two requests per slot for half
+ * empty.
  *
  * @module
  */
@@ -12,25 +13,32 @@
 import { hashToUint32 } from "../runtime/hash.ts";
 import type { RequestPairs } from "./types.ts";
 
-/** What was told of running requests. */
+/** Reported running requests. */
 export interface RunningRequests {
   /**
-   * Takes in all requests that a source knows of; what it told before is over.
+   * Replaces the report of a source.
    *
-   * @param source Who told.
-   * @param running The requests.
-   * @param includesOwn Whether this VM's requests are among them.
+   * @param source The VM, region or relay that sent it.
+   * @param running All running requests that it knows.
+   * @param includesOwn Whether they include requests of this VM.
    */
   apply(source: string, running: RequestPairs, includesOwn: boolean): void;
-  /** Notes what this VM told of itself, to be left out of what includes it. */
+  /**
+   * Records what this VM sent, to subtract it from reports that include it.
+   *
+   * @param running This VM's own requests.
+   */
   recordSent(running: RequestPairs): void;
-  /** @returns Requests of other VMs at a server. */
+  /**
+   * @param serverId A server's id.
+   * @returns The number of running requests of other VMs at it.
+   */
   getTotal(serverId: string): number;
-  /** @returns Requests of all sources that hold, by server. */
+  /** @returns Running requests by server hash, summed over all valid reports. */
   sum(): Map<number, number>;
 }
 
-/** What was told holds no longer than this; it is told at least twice as often. */
+/** How long a report is valid; reports are sent at least twice as often. */
 export const REPORT_TTL_MS = 1_500;
 
 interface RequestReport {
@@ -40,8 +48,10 @@
 }
 
 /**
+ * Creates a table of running requests.
+ *
  * @param clock The clock.
- * @returns A table in which nobody told anything.
+ * @returns A table without reports.
  */
 export function createRunningRequests(clock: Clock): RunningRequests {
   const reportBySource = new Map<string, RequestReport>();
@@ -66,9 +76,9 @@
       const key = hashToUint32(serverId);
       let total = 0;
       for (const { requests, includesOwn } of listValid()) {
-        const told = requests.get(key) ?? 0;
+        const reported = requests.get(key) ?? 0;
         const own = includesOwn ? ownSent.get(key) ?? 0 : 0;
-        total += Math.max(0, told - own);
+        total += Math.max(0, reported - own);
       }
       return total;
     },
@@ -81,10 +91,10 @@
 }
 
 /**
- * Adds requests to sums by server.
+ * Adds request counts to sums, in place.
  *
- * @param sums What is added to.
- * @param requests What is added.
+ * @param sums Sums by server hash.
+ * @param requests Counts by server hash.
  */
 export function addRequests(
   sums: Map<number, number>,
--- a/src/activity/sharing.ts
+++ b/src/activity/sharing.ts
@@ -1,9 +1,9 @@
 /**
- * Tells other VMs what this one does at backend servers, and takes in what they
- * do.
+ * Exchanges activity at backend servers between VMs.
  *
- * A small fleet tells all to all, soon: its objects are asked for again within
- * half a second. In a large one, VMs tell by way of their region's first hub.
+ * In a small fleet all VMs of a region send to each other at short intervals,
+ * since an object is requested again within half a second. In a large one VMs
+ * send through their region's first hub, the relay.
  *
  * @module
  */
@@ -20,23 +20,32 @@
 } from "./running.ts";
 import type { Activity, ActivityScope, RequestPairs } from "./types.ts";
 
-/** What sharing needs. */
+/** Dependencies of the activity exchange. */
 export interface SharingOptions {
   self: VmIdentity;
   clock: Clock;
   log: Log;
   cacheModel: ObjectMemory;
-  /** Requests of other VMs, as those who choose servers see them. */
+  /** Running requests of other VMs, as used for choosing servers. */
   running: RunningRequests;
-  /** Other VMs that serve clients. */
+  /** @returns Other VMs that serve clients. */
   listServing: () => VmIdentity[];
-  /** Who links to whom. */
+  /** @returns The link topology. */
   getTopology: () => Topology;
-  /** This VM's requests at servers where they last long enough to be told. */
+  /** @returns This VM's requests at servers where they run long enough to share. */
   getOwnRunning: () => RequestPairs;
-  /** Region of a server, by its hash. */
+  /**
+   * @param serverKey A server's hash.
+   * @returns The server's region; undefined if the server is unknown.
+   */
   getRegion: (serverKey: number) => string | undefined;
-  /** Sends to some VMs. */
+  /**
+   * Sends activity to some VMs.
+   *
+   * @param vmIds The ids of the VMs.
+   * @param scope The requests that the activity covers.
+   * @param activity The activity.
+   */
   send: (
     vmIds: readonly string[],
     scope: ActivityScope,
@@ -44,34 +53,48 @@
   ) => void;
 }
 
-/** Shares activity. */
+/** The activity exchange of this VM. */
 export interface Sharing {
-  /** Takes in what another VM told. */
+  /**
+   * Applies activity from another VM.
+   *
+   * @param from The sender.
+   * @param scope The requests that the activity covers.
+   * @param activity The activity.
+   */
   receive(from: VmIdentity, scope: ActivityScope, activity: Activity): void;
-  /** Tells a VM that was just found what servers were asked for. */
+  /**
+   * Sends a newly found VM the objects requested from servers so far.
+   *
+   * @param identity The VM.
+   */
   sendHistory(identity: VmIdentity): void;
+  /** Stops sending. */
   stop(): void;
 }
 
 /**
- * Pause in which news gather. Requests for one object come half a second apart
- * on a small fleet; with 40 VMs and a pause of 10 ms the news took 0.4 of the
- * processor time of the requests themselves.
+ * Interval between messages in a full mesh. In a small fleet requests for one
+ * object arrive half a second apart. With 40 VMs and an interval of 10 ms the
+ * exchange took 40% of the processor time of the requests themselves.
  */
 const DIRECT_INTERVAL_MS = 50;
 /**
- * The same by way of a relay, on fleets whose requests last a second and more.
- * At 65 VMs the relay gets and sends 330 messages a second each.
+ * Interval between messages through a relay, in fleets whose requests last a
+ * second and more. With 65 VMs the relay receives and sends 330 messages a second
+ * each.
  */
 const RELAYED_INTERVAL_MS = 200;
 
 /**
- * @param parts What sharing needs.
+ * Starts the activity exchange.
+ *
+ * @param options Its dependencies.
  * @returns The running exchange.
  */
-export function startSharing(parts: SharingOptions): Sharing {
-  const { self, clock, log, cacheModel: memory, running } = parts;
-  /** Kept apart, since what others told is passed on by this VM as a relay. */
+export function startSharing(options: SharingOptions): Sharing {
+  const { self, clock, log, cacheModel, running } = options;
+  /** Separate by origin, since as a relay this VM forwards what others sent. */
   const ownRegionRunning = createRunningRequests(clock);
   const otherRegionsRunning = createRunningRequests(clock);
   const relay = createRelay({
@@ -79,9 +102,9 @@
     ownRegion: self.region,
     ownRunning: ownRegionRunning,
     otherRunning: otherRegionsRunning,
-    getRegion: parts.getRegion,
+    getRegion: options.getRegion,
   });
-  /** Whom something was told last, by scope. */
+  /** Receivers whose last message was not empty, by scope and VM id. */
   const activeReceivers = new Set<string>();
   let wasRelay = false;
   let sentRunning: RequestPairs = [];
@@ -89,38 +112,41 @@
   let stopped = false;
 
   function listOthers(): string[] {
-    return parts.listServing()
+    return options.listServing()
       .filter(({ region }) => region === self.region)
       .map(({ id }) => id);
   }
 
   function listOtherRegions(): string[] {
-    return [...parts.getTopology().hubs.keys()].filter((region) =>
+    return [...options.getTopology().hubs.keys()].filter((region) =>
       region !== self.region
     );
   }
 
   function takeOwn(): Activity {
-    const taken = { ...memory.takeNews(), running: parts.getOwnRunning() };
+    const taken = {
+      ...cacheModel.takeNews(),
+      running: options.getOwnRunning(),
+    };
     running.recordSent(taken.running);
     return taken;
   }
 
-  /** Says nothing where nothing changed, but often enough to be believed. */
+  /** Sends changes, and repeats unchanged reports before they expire. */
   function sendToAll(others: readonly string[]): void {
     const own = takeOwn();
     const nowMs = clock.monotonicMs();
-    const isNews = own.asked.length + own.forgotten.length > 0 ||
+    const hasChanged = own.asked.length + own.forgotten.length > 0 ||
       own.running.join() !== sentRunning.join();
-    const isDue = own.running.length > 0 &&
+    const mustRepeat = own.running.length > 0 &&
       nowMs - sentAtMs > REPORT_TTL_MS / 3;
-    if (!isNews && !isDue) return;
+    if (!hasChanged && !mustRepeat) return;
     sentRunning = own.running;
     sentAtMs = nowMs;
-    parts.send(others, "vm", own);
+    options.send(others, "vm", own);
   }
 
-  /** An idle fleet is silent, but for the word that nothing runs any more. */
+  /** Sends an empty message only once, after the last one that was not empty. */
   function sendUnlessSilent(
     vmIds: readonly string[],
     scope: ActivityScope,
@@ -132,7 +158,7 @@
     if (isEmpty && !activeReceivers.has(key)) return;
     if (isEmpty) activeReceivers.delete(key);
     else activeReceivers.add(key);
-    parts.send(vmIds, scope, activity);
+    options.send(vmIds, scope, activity);
   }
 
   function sendToRelay(relayId: string): void {
@@ -145,7 +171,7 @@
     relay.addOwn(own);
     sendUnlessSilent(members, "all", relay.takeForOwnRegion());
     for (const region of listOtherRegions()) {
-      const relayId = findRelayId(parts.getTopology(), region);
+      const relayId = findRelayId(options.getTopology(), region);
       const activity = relay.takeForRegion(region);
       if (relayId === undefined || activity === undefined) continue;
       sendUnlessSilent([relayId], "region", activity);
@@ -155,17 +181,17 @@
   function updateRole(isRelay: boolean): void {
     if (isRelay === wasRelay) return;
     wasRelay = isRelay;
-    log.info({ isRelay }, "relay of the region");
+    log.info({ isRelay }, "relay role changed");
   }
 
-  /** @returns When to share again. */
+  /** @returns The delay until the next exchange, in milliseconds. */
   function share(): number {
-    if (parts.getTopology().isFullMesh) {
+    if (options.getTopology().isFullMesh) {
       updateRole(false);
       sendToAll(listOthers());
       return DIRECT_INTERVAL_MS;
     }
-    const relayId = findRelayId(parts.getTopology(), self.region);
+    const relayId = findRelayId(options.getTopology(), self.region);
     updateRole(relayId === self.id);
     if (wasRelay) sendAsRelay(listOthers());
     else if (relayId !== undefined) sendToRelay(relayId);
@@ -181,7 +207,7 @@
 
   return {
     receive(from, scope, activity) {
-      memory.apply(activity);
+      cacheModel.apply(activity);
       if (scope === "past") return;
       if (scope === "all") {
         return running.apply("relay", activity.running, true);
@@ -197,9 +223,9 @@
     },
     sendHistory(identity) {
       if (identity.region !== self.region) return;
-      if (!parts.getTopology().isFullMesh && !wasRelay) return;
-      const activity = { ...memory.listAsked(), running: [] };
-      parts.send([identity.id], "past", activity);
+      if (!options.getTopology().isFullMesh && !wasRelay) return;
+      const activity = { ...cacheModel.listAsked(), running: [] };
+      options.send([identity.id], "past", activity);
     },
     stop: () => void (stopped = true),
   };
--- a/src/activity/types.ts
+++ b/src/activity/types.ts
@@ -1,25 +1,29 @@
 /**
- * What VMs tell each other of their requests at backend servers.
+ * Messages in which VMs report their activity at backend servers.
  *
  * @module
  */
 import type { ObjectNews } from "../placement/memory.ts";
 
-/** Pairs of a server, hashed, and its requests: `server, requests, ...`. */
+/** Flattened pairs of a server's hash and a count: `server, requests, ...`. */
 export type RequestPairs = number[];
 
 /**
- * Whose requests a message tells of.
+ * The requests that a message covers.
  *
- * - `vm`: those of the VM that sends it.
- * - `region`: those of all VMs of the sender's region, for other regions.
- * - `all`: those that a VM of the sender's region has to know, its own included.
- * - `past`: what servers were asked for before a VM started.
+ * - `vm`: those of the sender.
+ * - `region`: those of all VMs of the sender's region; sent to other regions.
+ * - `all`: all that are relevant to the sender's region, including those of the
+ *   receiver.
+ * - `past`: the objects requested from servers before the receiver started.
  */
 export type ActivityScope = "vm" | "region" | "all" | "past";
 
-/** Requests at backend servers, since the last time and now. */
+/**
+ * Activity at backend servers: objects requested since the last message, and
+ * requests that run now.
+ */
 export interface Activity extends ObjectNews {
-  /** Requests that run or wait now; servers without are left out. */
+  /** Requests that run or wait now; servers without any are left out. */
   running: RequestPairs;
 }
--- a/src/members/demand.ts
+++ b/src/members/demand.ts
@@ -1,13 +1,15 @@
 /**
- * Sums of the demand of VMs' clients.
+ * Sums client demand over several sources.
  *
  * @module
  */
 import type { DemandByRegion } from "./types.ts";
 
 /**
- * @param demands Demands.
- * @returns Their sum, by region and service.
+ * Adds up demand.
+ *
+ * @param demands Request rates, in requests a second, by region and service.
+ * @returns The summed rates by region and service, in requests a second.
  */
 export function sumDemands(demands: readonly DemandByRegion[]): DemandByRegion {
   const sum: DemandByRegion = {};
--- a/src/members/dialer.ts
+++ b/src/members/dialer.ts
@@ -1,5 +1,5 @@
 /**
- * Which links this VM dials and keeps, from the VMs that it knows.
+ * Dials and closes links so that they match the topology of the known VMs.
  *
  * @module
  */
@@ -18,49 +18,58 @@
 import type { MemberTable } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 
-/** What dialing needs. */
+/** Dependencies of the dialer. */
 export interface DialerOptions {
   self: VmIdentity;
   table: MemberTable;
   clock: Clock;
   log: Log;
   links: LinkSet;
-  /** Addresses to dial while no other VM is known. */
+  /** Peer addresses to dial while no other VM is up. */
   seeds: readonly string[];
-  /** Whether the register had time to tell of others. */
+  /** @returns Whether the registry had enough time to list other VMs. */
   canDialSeeds: () => boolean;
-  /** Keeps a link to an address. */
+  /**
+   * Opens a link to an address and reopens it when it breaks.
+   *
+   * @param address The peer address.
+   * @returns The link.
+   */
   dial: (address: string) => DialedLink;
 }
 
-/** Dials other VMs. */
+/** Keeps the links that this VM should have. */
 export interface Dialer {
-  /** Looks which links are missing, and which are needed no more. */
+  /** Dials missing links and closes those no longer needed. */
   updateLinks(): void;
-  /** Looks once for all VMs that are found meanwhile. */
+  /** Updates the links after a short delay, once for all VMs found until then. */
   scheduleUpdate(): void;
+  /** @returns The topology as of the last update. */
   getTopology(): Topology;
   /**
-   * @returns Whether this VM is a hub; one that others of its region take for
-   *   theirs is one.
+   * @returns Whether this VM acts as a hub: the topology makes it one, or other
+   *   VMs of its region use it as one.
    */
   actsAsHub(): boolean;
+  /** Closes all dialed links and dials no more. */
   stop(): void;
 }
 
-/** Pause in which VMs that were found gather before links are looked at. */
+/** Delay that collects newly found VMs into one update of the links. */
 const UPDATE_DELAY_MS = 50;
 
 /**
- * @param parts What dialing needs.
- * @returns A dialing without links.
+ * Creates a dialer.
+ *
+ * @param options Its dependencies.
+ * @returns A dialer without links.
  */
-export function createDialer(parts: DialerOptions): Dialer {
-  const { self, table, clock, log, links } = parts;
+export function createDialer(options: DialerOptions): Dialer {
+  const { self, table, clock, log, links } = options;
   const dialed = new Map<string, DialedLink>();
   const reach = createHubReachability(clock);
   let topology = buildTopology([self]);
-  let isDue = false;
+  let isScheduled = false;
   let stopped = false;
 
   function actsAsHub(): boolean {
@@ -75,30 +84,31 @@
     return listLinkTargets(topology, self, actsAsHub());
   }
 
-  /** Hubs that can't be reached are left out for a while. */
+  /** Leaves out hubs that are excluded as unreachable. */
   function listCandidates(): VmIdentity[] {
     const possible = table.listHubCandidates();
     return [self, ...possible.filter(({ id }) => !reach.isExcluded(id))];
   }
 
   function updateTopology(): void {
-    const before = topology;
+    const previous = topology;
     const known = table.listKnown().map(({ identity }) => identity);
     topology = known.length < MAX_FULL_MESH_VMS
       ? buildTopology([self, ...known])
       : buildTopology(listCandidates(), false);
     const { isFullMesh } = topology;
     const isOwnHub = isHub(topology, self);
-    const isSame = isHub(before, self) === isOwnHub &&
-      before.isFullMesh === isFullMesh;
+    const isSame = isHub(previous, self) === isOwnHub &&
+      previous.isFullMesh === isFullMesh;
     if (isSame) return;
     const fields = { isFullMesh, isHub: isOwnHub, known: known.length + 1 };
-    log.info(fields, "links arranged");
+    log.info(fields, "link topology or hub role changed");
   }
 
   /**
-   * Of two hubs the one with the lower address dials, unless the other doesn't
-   * take itself for one; VMs that are no hubs dial theirs.
+   * In a full mesh and between two hubs, the VM with the lower address dials. A
+   * hub with the higher address dials once the link is overdue, since the other
+   * may not consider itself a hub. VMs that are no hubs always dial theirs.
    */
   function shouldDial(target: VmIdentity): boolean {
     if (self.peerAddress < target.peerAddress) return true;
@@ -106,15 +116,15 @@
     return !isHub(topology, self) || reach.isOverdue(target.id);
   }
 
-  /** While no other VM is known, seeds are dialed. */
+  /** Adds the seeds while no other VM is up. */
   function listAddresses(isAlone: boolean): Set<string> {
     const addresses = new Set<string>();
     for (const target of listTargets()) {
       if (!topology.isFullMesh) reach.record(target.id, links.has(target.id));
       if (shouldDial(target)) addresses.add(target.peerAddress);
     }
-    if (isAlone && parts.canDialSeeds()) {
-      parts.seeds.forEach((seed) => addresses.add(seed));
+    if (isAlone && options.canDialSeeds()) {
+      options.seeds.forEach((seed) => addresses.add(seed));
     }
     addresses.delete(self.peerAddress);
     return addresses;
@@ -128,30 +138,30 @@
     }
   }
 
-  /** Former hubs are kept until all new ones are linked. */
+  /** Links to former hubs are kept until all new ones are open. */
   function isAnyLinkMissing(): boolean {
     return !topology.isFullMesh &&
       listTargets().some(({ id }) => !links.has(id));
   }
 
-  function look(): void {
-    isDue = false;
+  function updateLinks(): void {
+    isScheduled = false;
     if (stopped) return;
     updateTopology();
     const isAlone = table.listAlive().length === 0;
     const addresses = listAddresses(isAlone);
     for (const address of addresses) {
-      if (!dialed.has(address)) dialed.set(address, parts.dial(address));
+      if (!dialed.has(address)) dialed.set(address, options.dial(address));
     }
     if (!isAlone && !isAnyLinkMissing()) closeUnneeded(addresses);
   }
 
   return {
-    updateLinks: look,
+    updateLinks,
     scheduleUpdate() {
-      if (isDue) return;
-      isDue = true;
-      clock.after(UPDATE_DELAY_MS, look);
+      if (isScheduled) return;
+      isScheduled = true;
+      clock.after(UPDATE_DELAY_MS, updateLinks);
     },
     getTopology: () => topology,
     actsAsHub,
--- a/src/members/discovery.ts
+++ b/src/members/discovery.ts
@@ -1,5 +1,5 @@
 /**
- * How a VM is found: it registers, and lists who else did.
+ * Discovery of VMs: registers this VM and lists the others in the registry.
  *
  * @module
  */
@@ -9,79 +9,86 @@
 import type { Log } from "../telemetry/log.ts";
 import type { VmIdentity, VmRegistry } from "./types.ts";
 
-/** What discovery needs. */
+/** Dependencies of discovery. */
 export interface DiscoveryOptions {
   self: VmIdentity;
   registry: VmRegistry;
   clock: Clock;
   log: Log;
-  /** Pause before the first list. */
+  /** Delay between registering and the first list. */
   listAfterMs: number;
-  /** @returns How many VMs this one knows. */
+  /** @returns The number of VMs that this one knows. */
   countKnown: () => number;
-  /** @returns The latest epoch of the register that any VM heard of. */
+  /** @returns The latest known epoch of the registry. */
   getEpoch: () => number;
-  /** Whether the register may know VMs that this one doesn't. */
+  /** @returns Whether the registry may list VMs unknown to this one. */
   shouldList: () => boolean;
-  /** Whether no VM is linked. */
+  /** @returns Whether this VM has no link. */
   isAlone: () => boolean;
-  /** Told of what the register lists; of nothing where it doesn't answer. */
+  /**
+   * Called after each list.
+   *
+   * @param members The listed VMs; empty if the registry was not asked or failed.
+   */
   onListed: (members: readonly VmIdentity[]) => void;
 }
 
-/** A running discovery. */
+/** Running discovery. */
 export interface Discovery {
-  /** @returns Whether the register was asked. */
+  /** @returns Whether the first list has completed, even if it failed. */
   hasListed(): boolean;
+  /** Stops registering and listing. */
   stop(): void;
 }
 
-/** How often the register is asked while this VM starts, or is alone. */
+/** Interval between lists while this VM starts or has no link. */
 const STARTUP_LIST_INTERVAL_MS = 2_000;
-/** After that time VMs learn of new ones from each other. */
+/** After this time VMs learn of new ones from each other. */
 const STARTUP_MS = 5_000;
 const LIST_INTERVAL_MS = 30_000;
 const REGISTER_RETRY_DELAY_MS = 1_000;
-/** How often a VM looks whether the register was restored. */
+/** Interval between checks for a restore of the registry. */
 const EPOCH_CHECK_INTERVAL_MS = 1_000;
 /**
- * All VMs register again after a restore. That is spread, by their number, to a
- * hundred writes a second.
+ * After a restore all VMs register again. The delay is spread in proportion to
+ * their number, which limits the writes to about 100 a second.
  */
 const REREGISTER_SPREAD_MS_PER_VM = 10;
 const MIN_REREGISTER_SPREAD_MS = 1_000;
 
 /**
- * @param parts What discovery needs.
+ * Registers this VM and starts listing others.
+ *
+ * @param options Its dependencies.
  * @returns The running discovery.
  */
-export function startDiscovery(parts: DiscoveryOptions): Discovery {
-  const { self, registry: register, clock, log } = parts;
+export function startDiscovery(options: DiscoveryOptions): Discovery {
+  const { self, registry, clock, log } = options;
   const startedAtMs = clock.monotonicMs();
   let hasListed = false;
   let stopped = false;
-  /** Epoch of the register that holds this VM; undefined before it does. */
+  /** Epoch in which this VM registered last; undefined before the first time. */
   let registeredEpoch: number | undefined;
 
   async function registerSelf(): Promise<void> {
     if (stopped) return;
     try {
-      const epoch = await register.register(self);
-      registeredEpoch = epoch ?? parts.getEpoch();
+      const epoch = await registry.register(self);
+      registeredEpoch = epoch ?? options.getEpoch();
     } catch (cause) {
-      log.warn({ error: describeError(cause) }, "registering failed");
+      log.warn({ error: describeError(cause) }, "registration failed");
       clock.after(REGISTER_RETRY_DELAY_MS, () => void registerSelf());
     }
   }
 
-  /** A register that was restored may have lost this VM. */
+  /** A restored registry may have lost the entry of this VM. */
   function reregisterAfterRestore(): void {
-    const epoch = parts.getEpoch();
+    const epoch = options.getEpoch();
     if (registeredEpoch === undefined || registeredEpoch >= epoch) return;
     registeredEpoch = epoch;
     const spreadMs = Math.max(
       MIN_REREGISTER_SPREAD_MS,
-      parts.countKnown() * REREGISTER_SPREAD_MS_PER_VM,
+      options.countKnown() * REREGISTER_SPREAD_MS_PER_VM,
     );
     const delayMs = hashToUnit(`${self.id} ${epoch}`) * spreadMs;
     log.info({ epoch, delayMs: Math.round(delayMs) }, "registering again");
@@ -89,11 +96,11 @@
   }
 
   async function list(): Promise<readonly VmIdentity[]> {
-    if (!parts.shouldList()) return [];
+    if (!options.shouldList()) return [];
     try {
-      return await register.list();
+      return await registry.list();
     } catch (cause) {
-      log.warn({ error: describeError(cause) }, "listing VMs failed");
+      log.warn({ error: describeError(cause) }, "could not list VMs");
       return [];
     }
   }
@@ -102,17 +109,17 @@
     if (stopped) return;
     const members = await list();
     hasListed = true;
-    parts.onListed(members);
+    options.onListed(members);
     const hasSettled = clock.monotonicMs() - startedAtMs >= STARTUP_MS;
     clock.after(
-      hasSettled && !parts.isAlone()
+      hasSettled && !options.isAlone()
         ? LIST_INTERVAL_MS
         : STARTUP_LIST_INTERVAL_MS,
       () => void findMembers(),
     );
   }
 
-  void registerSelf().then(() => clock.after(parts.listAfterMs, findMembers));
+  void registerSelf().then(() => clock.after(options.listAfterMs, findMembers));
   const epochCheck = clock.every(
     EPOCH_CHECK_INTERVAL_MS,
     reregisterAfterRestore,
--- a/src/members/discovery_test.ts
+++ b/src/members/discovery_test.ts
@@ -6,7 +6,7 @@
 import { startDiscovery } from "./discovery.ts";
 import { type VmIdentity, VmRegistry } from "./types.ts";
 
-class CountingRegister extends VmRegistry {
+class CountingRegistry extends VmRegistry {
   epoch: number | undefined = 1;
   registeredAtMs: number[] = [];
 
@@ -26,11 +26,11 @@
 
 function start(vms: number, index = 0) {
   const clock = createFakeClock();
-  const register = new CountingRegister(clock.monotonicMs);
+  const registry = new CountingRegistry(clock.monotonicMs);
   const heard = { epoch: 0 };
   const discovery = startDiscovery({
     self: makeVmIdentity(`vm-${index}`),
-    registry: register,
+    registry,
     clock,
     log: createSilentLog(),
     listAfterMs: 0,
@@ -40,33 +40,33 @@
     isAlone: () => false,
     onListed: () => {},
   });
-  return { clock, register, heard, discovery };
+  return { clock, registry, heard, discovery };
 }
 
-test("a VM registers again once after its register was restored", async () => {
-  const { clock, register, heard, discovery } = start(12);
+test("a VM registers again once after a restore of the registry", async () => {
+  const { clock, registry, heard, discovery } = start(12);
   await Promise.resolve();
   heard.epoch = 1;
   clock.advance(10_000);
-  assert.is(register.registeredAtMs.length, 1);
-  register.epoch = 2;
+  assert.is(registry.registeredAtMs.length, 1);
+  registry.epoch = 2;
   heard.epoch = 2;
   clock.advance(10_000);
   await Promise.resolve();
   clock.advance(10_000);
-  assert.is(register.registeredAtMs.length, 2);
+  assert.is(registry.registeredAtMs.length, 2);
   discovery.stop();
 });
 
-test("2,600 VMs that register again make some hundred writes a second", async () => {
+test("2,600 VMs register again at less than 200 writes a second", async () => {
   const bySecond = new Map<number, number>();
   for (let index = 0; index < 2_600; index++) {
-    const { clock, register, heard, discovery } = start(2_600, index);
+    const { clock, registry, heard, discovery } = start(2_600, index);
     await Promise.resolve();
     heard.epoch = 2;
     for (let second = 0; second < 30; second++) clock.advance(1_000);
     discovery.stop();
-    const [, againAtMs] = register.registeredAtMs;
+    const [, againAtMs] = registry.registeredAtMs;
     const second = Math.floor(againAtMs / 1_000);
     bySecond.set(second, (bySecond.get(second) ?? 0) + 1);
   }
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -18,8 +18,8 @@
 const REGIONS = ["oslo", "bergen", "trondheim"];
 const VMS = MAX_FULL_MESH_VMS + 3;
 
-/** The register that all VMs of a test share. */
-class SharedRegister extends VmRegistry {
+/** The registry that all VMs of a test share. */
+class SharedRegistry extends VmRegistry {
   readonly #vms = new Map<string, VmIdentity>();
   lists = 0;
 
@@ -34,9 +34,9 @@
   }
 }
 
-async function startVm(index: number, register: VmRegistry) {
+async function startVm(index: number, registry: VmRegistry) {
   const http = await listen(createRouter(), "127.0.0.1:0");
-  const board = createNewsBoard(clock);
+  const factStore = createNewsBoard(clock);
   const region = REGIONS[index % REGIONS.length];
   const self: VmIdentity = {
     id: `vm-${index}`,
@@ -54,10 +54,10 @@
   const mesh = startMesh({
     self,
     table,
-    factStore: board,
+    factStore,
     knowledge: createKnowledge({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
-    registry: register,
+    registry,
     clock,
     log,
     server: http.server,
@@ -66,7 +66,7 @@
     makeReport: () => ({
       state,
       demandPerS: { s: 2 },
-      digests: board.getDigests(),
+      digests: factStore.getDigests(),
     }),
     onFound: () => {},
     onActivity: () => {},
@@ -76,7 +76,7 @@
   });
   return {
     self,
-    board,
+    factStore,
     table,
     mesh,
     rateLimits,
@@ -95,15 +95,15 @@
 type TestVm = Awaited<ReturnType<typeof startVm>>;
 
 async function startFleet() {
-  const register = new SharedRegister();
+  const registry = new SharedRegistry();
   const vms = await Promise.all(
-    Array.from({ length: VMS }, (_, index) => startVm(index, register)),
+    Array.from({ length: VMS }, (_, index) => startVm(index, registry)),
   );
   const topology = buildTopology(vms.map(({ self }) => self));
   const isHubVm = ({ self }: TestVm) => isHub(topology, self);
   await waitUntil(() => vms.every((vm) => countServing(vm) === VMS - 1));
   return {
-    register,
+    registry,
     vms,
     hubs: vms.filter(isHubVm),
     others: vms.filter((vm) => !isHubVm(vm)),
@@ -120,7 +120,7 @@
   assert.ok(isMet());
 }
 
-test("VMs of a large fleet know of each other by way of two hubs a region", async () => {
+test("VMs of a large fleet discover each other through two hubs per region", async () => {
   const { vms, hubs, others, stop } = await startFleet();
   assert.is(hubs.length, 6);
   await waitUntil(() =>
@@ -132,36 +132,36 @@
   await stop();
 });
 
-test("facts reach all VMs of a large fleet, whoever learned of them", async () => {
+test("facts reach all VMs of a large fleet, whichever VM learned them", async () => {
   const { vms, others, stop } = await startFleet();
   const seenAtMs = 0;
-  const news = [
+  const updates = [
     makeServerNews(makeServer("1"), 1),
     toEndNews({ request: "r", round: 0, server: "1", vm: "vm-0", seenAtMs }),
   ];
-  others[0].board.apply(news);
-  others[0].mesh.broadcastFacts(news);
+  others[0].factStore.apply(updates);
+  others[0].mesh.broadcastFacts(updates);
   await waitUntil(() =>
-    vms.every(({ board }) =>
-      board.listTopic("servers").length === 1 &&
-      board.listTopic("suspects").length === 1
+    vms.every(({ factStore }) =>
+      factStore.listTopic("servers").length === 1 &&
+      factStore.listTopic("suspects").length === 1
     )
   );
   await stop();
 });
 
-test("a rate limit of a server is known to all VMs of a large fleet", async () => {
+test("a server's rate limit reaches all VMs of a large fleet", async () => {
   const { vms, others, stop } = await startFleet();
-  const [told] = others;
-  told.rateLimits.note("1", 3.5);
-  told.mesh.broadcastServerRateLimits(told.rateLimits.takeNews());
+  const [limited] = others;
+  limited.rateLimits.note("1", 3.5);
+  limited.mesh.broadcastServerRateLimits(limited.rateLimits.takeNews());
   await waitUntil(() =>
     vms.every(({ rateLimits }) => rateLimits.getRatePerS("1") === 3.5)
   );
   await stop();
 });
 
-test("a VM that leaves is named by no VM of a large fleet any more", async () => {
+test("no VM of a large fleet lists a VM that leaves", async () => {
   const { vms, others, stop } = await startFleet();
   const [leaver] = others;
   leaver.leave();
@@ -170,7 +170,7 @@
   await stop();
 });
 
-test("a large fleet goes on without a hub, and without two of one region", async () => {
+test("a large fleet survives the loss of a hub, and of both hubs of a region", async () => {
   const { vms, hubs, stop } = await startFleet();
   const [first] = hubs;
   const second = hubs.find(({ self }) =>
@@ -187,12 +187,12 @@
   await stop();
 });
 
-test("behind hubs, VMs ask the register once as they start", async () => {
-  const { register, hubs, others, stop } = await startFleet();
+test("VMs behind hubs list the registry once, when they start", async () => {
+  const { registry, hubs, others, stop } = await startFleet();
   await sleep(2_500);
   assert.ok(
-    register.lists <= others.length + 3 * hubs.length,
-    `${register.lists} lists`,
+    registry.lists <= others.length + 3 * hubs.length,
+    `${registry.lists} lists`,
   );
   await stop();
 });
--- a/src/members/hub_reachability.ts
+++ b/src/members/hub_reachability.ts
@@ -1,27 +1,41 @@
 /**
- * Which hubs can't be reached: wanted links that are missing, and for how long.
+ * Tracks which hubs can't be reached, by how long the links to them are missing.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** Follows wanted links. */
+/** Tracks the links that this VM should have. */
 export interface HubReachability {
-  /** Notes whether a link that is wanted is there. */
+  /**
+   * Records the state of a link that this VM should have.
+   *
+   * @param id The id of the VM at the other end.
+   * @param isLinked Whether the link is open.
+   */
   record(id: string, isLinked: boolean): void;
-  /** @returns Whether a link is missing for so long that this side may dial. */
+  /**
+   * @param id A VM's id.
+   * @returns Whether its link is missing for so long that this VM should dial,
+   *   even if it is the other one's turn.
+   */
   isOverdue(id: string): boolean;
-  /** @returns Whether a VM is passed over as a hub, for a while. */
+  /**
+   * @param id A VM's id.
+   * @returns Whether the VM is currently excluded as a hub.
+   */
   isExcluded(id: string): boolean;
 }
 
-/** A hub that can't be reached for this long is given up, for a while. */
+/** A hub whose link is missing for this long is excluded for a while. */
 const UNREACHABLE_AFTER_MS = 1_500;
 const EXCLUSION_MS = 10_000;
 
 /**
+ * Creates a tracker.
+ *
  * @param clock The clock.
- * @returns A reach in which nothing is missing.
+ * @returns A tracker without missing links.
  */
 export function createHubReachability(clock: Clock): HubReachability {
   const missingSinceMs = new Map<string, number>();
--- a/src/members/hub_views.ts
+++ b/src/members/hub_views.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM tells of other VMs while it is a hub.
+ * Sends views of the fleet to other VMs while this VM acts as a hub.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { DemandByRegion, VmIdentity, VmReport } from "./types.ts";
 import { createViewSender, type ReportedVm } from "./view_sender.ts";
 
-/** What telling needs. */
+/** Dependencies of the hub views. */
 export interface HubViewsOptions {
   self: VmIdentity;
   table: MemberTable;
@@ -19,46 +19,54 @@
   links: LinkSet;
   makeReport: () => VmReport;
   getTopology: () => Topology;
-  /** Whether this VM is a hub now. */
+  /** @returns Whether this VM currently acts as a hub. */
   actsAsHub: () => boolean;
 }
 
-/** Tells of VMs. */
+/** Sends views of the fleet. */
 export interface HubViews {
-  /** Tells what changed, or that nothing did. */
+  /** Sends the changes since the last views, also if there are none. */
   sendChanges(): void;
-  /** Tells what changed, together with what changes meanwhile. */
+  /** Sends the changes after a short delay, so that several go in one batch. */
   scheduleChanges(): void;
-  /** Tells one VM all. */
+  /**
+   * Sends the whole view to one VM.
+   *
+   * @param link The link to send it on.
+   * @param identity The VM at the other end, which determines the scope.
+   */
   sendSnapshot(link: VmLink, identity: VmIdentity): void;
   /**
-   * @returns Demand of the clients of all VMs; undefined where VMs tell each
-   *   other themselves, or no hub told yet.
+   * @returns Demand of the clients of all VMs, in requests a second; undefined in
+   *   a full mesh, where VMs report to each other directly, or before the first
+   *   view of a hub.
    */
   getDemand(): DemandByRegion | undefined;
 }
 
-/** Pause in which changes of VMs gather, so that they come in batches. */
+/** Delay that collects changes of VMs into one batch. */
 const BATCH_DELAY_MS = 100;
 
 /**
- * @param parts What telling needs.
- * @returns Views of which nothing was told.
+ * Creates the hub views.
+ *
+ * @param options Their dependencies.
+ * @returns Hub views that have sent nothing yet.
  */
-export function createHubViews(parts: HubViewsOptions): HubViews {
-  const { self, table, clock, links, makeReport, actsAsHub } = parts;
-  /** For VMs of this region: all VMs. For hubs: those that are linked here. */
+export function createHubViews(options: HubViewsOptions): HubViews {
+  const { self, table, clock, links, makeReport, actsAsHub } = options;
+  /** VMs of this region get the fleet; other hubs get the VMs linked here. */
   const fleetSender = createViewSender("fleet");
   const linkedSender = createViewSender("linked");
-  let isDue = false;
+  let isScheduled = false;
 
   function isMember(identity: VmIdentity): boolean {
     return identity.region === self.region &&
-      !isHub(parts.getTopology(), identity);
+      !isHub(options.getTopology(), identity);
   }
 
-  function tell(): void {
-    isDue = false;
+  function sendChanges(): void {
+    isScheduled = false;
     if (!actsAsHub()) return;
     const own = { identity: self, state: makeReport().state };
     const demandPerS = sumLinkedDemand();
@@ -77,9 +85,9 @@
     );
   }
 
-  /** The first hub of a region sums up, so that no demand counts twice. */
+  /** Only the first hub of a region sums up, so that no demand counts twice. */
   function sumLinkedDemand(): DemandByRegion {
-    const relayId = findRelayId(parts.getTopology(), self.region);
+    const relayId = findRelayId(options.getTopology(), self.region);
     if (relayId !== self.id) return {};
     const reports = table.listLinked()
       .filter(({ identity }) => identity.region === self.region)
@@ -92,18 +100,18 @@
   }
 
   return {
-    sendChanges: tell,
+    sendChanges,
     scheduleChanges() {
-      if (isDue || !actsAsHub()) return;
-      isDue = true;
-      clock.after(BATCH_DELAY_MS, tell);
+      if (isScheduled || !actsAsHub()) return;
+      isScheduled = true;
+      clock.after(BATCH_DELAY_MS, sendChanges);
     },
     sendSnapshot(link, identity) {
-      const teller = isMember(identity) ? fleetSender : linkedSender;
-      link.send({ kind: "view", ...teller.makeSnapshot() });
+      const sender = isMember(identity) ? fleetSender : linkedSender;
+      link.send({ kind: "view", ...sender.makeSnapshot() });
     },
     getDemand() {
-      const topology = parts.getTopology();
+      const topology = options.getTopology();
       if (topology.isFullMesh) return undefined;
       if (!isHub(topology, self)) return table.listDemands("fleet")[0];
       return sumDemands([sumLinkedDemand(), ...table.listDemands("linked")]);
--- a/src/members/hubs.ts
+++ b/src/members/hubs.ts
@@ -1,33 +1,36 @@
 /**
- * Which VMs link to which.
+ * The topology of links between VMs.
  *
- * A small fleet links all to all. In a large one, each region has two hubs:
- * VMs link to the hubs of their region, and hubs to each other. All to all, 195
- * VMs sent 47,000 reports a second, which took more processor time and more
- * bytes between regions than the requests.
+ * A small fleet forms a full mesh. In a large one each region has two hubs: VMs
+ * link to the hubs of their region, and all hubs link to each other. In a full
+ * mesh 195 VMs sent 47,000 reports a second, which took more processor time and
+ * more bandwidth between regions than the requests themselves.
  *
  * @module
  */
 import { hashToUnit } from "../runtime/hash.ts";
 import type { VmIdentity } from "./types.ts";
 
-/** VMs up to which all link to all: 552 reports in 0.8 s. */
+/** Largest fleet that forms a full mesh: 552 reports every 0.8 s. */
 export const MAX_FULL_MESH_VMS = 24;
-/** The second covers for the first until the loss of that one is noticed. */
+/** The second hub covers for the first until its loss is detected. */
 const HUBS_PER_REGION = 2;
 
-/** Who links to whom, as one VM sees it. */
+/** The link topology in one VM's local view. */
 export interface Topology {
-  /** Whether all VMs link to all. */
+  /** Whether every VM links to every other. */
   isFullMesh: boolean;
-  /** The hubs of each region, best first. */
+  /** The hubs by region, in order of preference. In a full mesh all VMs. */
   hubs: ReadonlyMap<string, readonly VmIdentity[]>;
 }
 
 /**
- * @param vms All VMs that may be up, the own one included.
- * @param isFullMesh Whether all link to all, unless by how many they are.
- * @returns Who links to whom.
+ * Builds the link topology.
+ *
+ * @param vms All VMs that may be up, including this one.
+ * @param isFullMesh Whether to form a full mesh; by default this depends on the
+ *   number of VMs.
+ * @returns The topology.
  */
 export function buildTopology(
   vms: readonly VmIdentity[],
@@ -44,29 +47,31 @@
   return { isFullMesh, hubs: new Map(hubs) };
 }
 
-/** VMs with more processor time first: a hub handles two messages a VM. */
+/** Ranks VMs with more cores first, since a hub handles two messages per VM. */
 function rankHubs(vms: readonly VmIdentity[]): VmIdentity[] {
   const ranked = vms.map((vm) => ({ vm, rank: hashToUnit(vm.id) }));
   ranked.sort((a, b) => b.vm.cores - a.vm.cores || a.rank - b.rank);
   return ranked.map(({ vm }) => vm);
 }
 
-/** The hubs of a region stand in different failure domains where they can. */
+/** Selects hubs in different failure domains where possible. */
 function selectHubs(ranked: readonly VmIdentity[]): VmIdentity[] {
   const domains = new Set<string>();
-  const apart: VmIdentity[] = [];
+  const distinct: VmIdentity[] = [];
   for (const vm of ranked) {
     if (domains.has(vm.failureDomain)) continue;
     domains.add(vm.failureDomain);
-    apart.push(vm);
+    distinct.push(vm);
   }
-  const rest = ranked.filter((vm) => !apart.includes(vm));
-  return [...apart, ...rest].slice(0, HUBS_PER_REGION);
+  const rest = ranked.filter((vm) => !distinct.includes(vm));
+  return [...distinct, ...rest].slice(0, HUBS_PER_REGION);
 }
 
 /**
- * @param topology Who links to whom.
- * @param vm A VM.
+ * Tells whether a VM is a hub.
+ *
+ * @param topology The link topology.
+ * @param vm The VM.
  * @returns Whether it is one of its region's hubs.
  */
 export function isHub({ hubs }: Topology, vm: VmIdentity): boolean {
@@ -74,10 +79,13 @@
 }
 
 /**
- * @param topology Who links to whom.
- * @param region A region.
- * @returns The VM that sums up for the region: its first hub, which all VMs of
- *   the region and the other hubs link to.
+ * Finds the relay of a region.
+ *
+ * @param topology The link topology.
+ * @param region The region.
+ * @returns The id of the VM that aggregates for the region: its first hub, which
+ *   all VMs of the region and all other hubs link to; undefined if the region
+ *   has no VM.
  */
 export function findRelayId(
   { hubs }: Topology,
@@ -87,19 +95,23 @@
 }
 
 /**
- * @param topology Who links to whom.
- * @param vm A VM.
- * @returns Whether what it hears comes by way of a hub.
+ * Tells whether a VM receives everything through a hub.
+ *
+ * @param topology The link topology.
+ * @param vm The VM.
+ * @returns Whether it is neither a hub nor part of a full mesh.
  */
 export function isBehindHub(topology: Topology, vm: VmIdentity): boolean {
   return !topology.isFullMesh && !isHub(topology, vm);
 }
 
 /**
- * @param topology Who links to whom.
- * @param self A VM.
- * @param actsAsHub Whether others took it for a hub, whatever the topology says.
- * @returns The VMs that it keeps links to.
+ * Lists the VMs that a VM keeps links to.
+ *
+ * @param topology The link topology.
+ * @param self The VM.
+ * @param actsAsHub Whether other VMs use it as a hub, whatever the topology says.
+ * @returns The VMs to link to.
  */
 export function listLinkTargets(
   topology: Topology,
--- a/src/members/hubs_test.ts
+++ b/src/members/hubs_test.ts
@@ -23,7 +23,7 @@
   );
 }
 
-test("a small fleet links all to all", () => {
+test("a small fleet forms a full mesh", () => {
   const fleet = makeFleet(MAX_FULL_MESH_VMS / 3);
   const topology = buildTopology(fleet);
   assert.ok(topology.isFullMesh);
@@ -33,7 +33,7 @@
   );
 });
 
-test("VMs of a large fleet link to two hubs, and hubs to each other", () => {
+test("in a large fleet VMs link to two hubs, and hubs to each other", () => {
   const fleet = makeFleet(65);
   const topology = buildTopology(fleet);
   assert.not(topology.isFullMesh);
@@ -49,18 +49,18 @@
   assert.is(total, 6 * 5 + 189 * 2);
 });
 
-test("the hubs of a region stand in different failure domains", () => {
+test("the hubs of a region are in different failure domains", () => {
   for (const [, [first, second]] of buildTopology(makeFleet(30)).hubs) {
     assert.is.not(first.failureDomain, second.failureDomain);
   }
 });
 
-test("VMs with more processor time become hubs", () => {
+test("VMs with more cores become hubs", () => {
   const fleet = [...makeFleet(30), makeVm("oslo", 100, 5)];
   assert.is(buildTopology(fleet).hubs.get("oslo")![0].id, "oslo-100");
 });
 
-test("the loss of a hub moves only what it did", () => {
+test("the loss of a hub changes no other hub", () => {
   const fleet = makeFleet(65);
   const before = buildTopology(fleet);
   const [first, second] = before.hubs.get("oslo")!;
@@ -69,7 +69,7 @@
   assert.equal(after.hubs.get("bergen"), before.hubs.get("bergen"));
 });
 
-test("a VM that others take for their hub links to the hubs of all regions", () => {
+test("a VM that others use as a hub links to the hubs of all regions", () => {
   const fleet = makeFleet(65);
   const topology = buildTopology(fleet);
   const isHub = (vm: VmIdentity) =>
--- a/src/members/link_set.ts
+++ b/src/members/link_set.ts
@@ -1,5 +1,5 @@
 /**
- * The open links of a VM.
+ * The open links of this VM.
  *
  * @module
  */
@@ -13,48 +13,82 @@
 /** A link to another VM. */
 export type VmLink = PeerLink<VmMessage>;
 
-/** What is known of a link. */
+/** The state of a link. */
 export interface LinkState {
-  /** The VM at the other end, once it said so. */
+  /** The VM at the other end; undefined until its hello arrives. */
   identity: VmIdentity | undefined;
+  /** When the last message arrived (monotonic). */
   heardAtMs: number;
-  /** The VM as one to compare facts with. */
+  /** The peer as the fact repair sees it. */
   facts: FactPeer;
 }
 
-/** The open links. */
+/** A set of open links. */
 export interface LinkSet {
+  /**
+   * Adds a link that was just opened.
+   *
+   * @param link The link.
+   */
   add(link: VmLink): void;
-  /** @returns The VM that it led to, if that is not linked any more. */
+  /**
+   * Removes a link.
+   *
+   * @param link The link.
+   * @returns The VM at its other end, if no other link to that VM is left.
+   */
   remove(link: VmLink): VmIdentity | undefined;
+  /**
+   * @param link A link.
+   * @returns Its state; undefined if the link was removed.
+   */
   get(link: VmLink): LinkState | undefined;
-  /** Whether there is none. */
+  /** @returns Whether no link is open. */
   isEmpty(): boolean;
-  /** @returns Whether a VM is linked. */
+  /**
+   * @param id A VM's id.
+   * @returns Whether a link to that VM is open.
+   */
   has(id: string): boolean;
-  /** @returns The VMs that are linked, as often as they are. */
+  /** @returns The linked VMs, once for each of their links. */
   listIdentities(): VmIdentity[];
   /**
-   * Sends on every link, also where a VM has two or has not said yet who it
-   * is: one of two may be closing, and what a new link missed would be taken
-   * for known.
+   * Sends a message on every link, including all links of a VM that has two and
+   * links without a hello yet. One of two links may be closing, and a message
+   * missed on a new link is never sent again.
+   *
+   * @param message The message.
    */
   send(message: VmMessage): void;
-  /** Sends to the VMs that are wanted, but for one link. */
+  /**
+   * Sends a message to selected VMs.
+   *
+   * @param message The message.
+   * @param isWanted Selects the VMs.
+   * @param except A link to leave out.
+   */
   sendWhere(
     message: VmMessage,
     isWanted: (identity: VmIdentity) => boolean,
     except?: VmLink,
   ): void;
-  /** Calls a function with each link. */
+  /**
+   * Calls a function for each link.
+   *
+   * @param run The function.
+   */
   forEach(run: (link: VmLink) => void): void;
+  /** Closes the links whose peers were silent for too long. */
   closeSilent(): void;
+  /** Closes all links. */
   close(): void;
 }
 
 /**
+ * Creates a set of links.
+ *
  * @param clock The clock.
- * @returns A set without links.
+ * @returns An empty set.
  */
 export function createLinkSet(clock: Clock): LinkSet {
   const links = new Map<VmLink, LinkState>();
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -1,5 +1,5 @@
 /**
- * Links between VMs: who is up, and facts passed on.
+ * The mesh of links between VMs, which carries membership and facts.
  *
  * @module
  */
@@ -39,75 +39,100 @@
   VmReport,
 } from "./types.ts";
 
-/** What a mesh needs. */
+/** Dependencies of a mesh. */
 export interface MeshOptions extends PayloadListeners {
   self: VmIdentity;
   table: MemberTable;
   factStore: NewsBoard;
   knowledge: Knowledge;
-  /** Whether anything hangs on how old knowledge is. */
+  /** @returns Whether anything depends on the age of the knowledge. */
   needsProofs: () => boolean;
   registry: VmRegistry;
   clock: Clock;
   log: Log;
-  /** Server that accepts links of other VMs. */
+  /** Server that accepts links from other VMs. */
   server: Server;
-  /** Peer addresses to begin with; some may be down. */
+  /** Peer addresses to start with; some may be down. */
   seeds: readonly string[];
-  /** Whether all VMs start now, for the first time. */
+  /** Whether all VMs of the fleet start together for the first time. */
   isFleetBootstrap: boolean;
-  /** What this VM tells of itself. */
+  /** @returns The current report of this VM. */
   makeReport: () => VmReport;
-  /** Told of each VM that says who it is. */
+  /**
+   * Called for each hello.
+   *
+   * @param identity The VM that sent it.
+   */
   onFound: (identity: VmIdentity) => void;
 }
 
-/** The links of this VM. */
+/** The mesh as seen by this VM. */
 export interface Mesh {
-  /** Passes facts on to every VM that is linked. */
+  /**
+   * Sends facts to all linked VMs.
+   *
+   * @param items The facts.
+   */
   broadcastFacts(items: NewsItem[]): void;
-  /** Tells every VM that is linked of rate limits of servers. */
+  /**
+   * Sends rate limits of backend servers to all linked VMs.
+   *
+   * @param rates The rate limits.
+   */
   broadcastServerRateLimits(rates: RateLimitNews[]): void;
-  /** Tells every VM that this one read a topic from its source. */
+  /**
+   * Tells all linked VMs that this VM just read a topic from its source.
+   *
+   * @param topic The topic.
+   */
   announceRead(topic: SourceTopic): void;
-  /** Tells every VM how this one is, now. */
+  /** Sends a report of this VM now, ahead of the next interval. */
   sendReport(): void;
-  /** Sends a message to some VMs that are linked. */
+  /**
+   * Sends a message to those of some VMs that are linked.
+   *
+   * @param vmIds The ids of the VMs.
+   * @param message The message.
+   */
   sendTo(vmIds: readonly string[], message: VmMessage): void;
-  /** @returns Who links to whom. */
+  /** @returns The link topology. */
   getTopology(): Topology;
   /**
-   * @returns Demand of the clients of all VMs; undefined where VMs tell each
-   *   other themselves, or no hub told yet.
+   * @returns Demand of the clients of all VMs, in requests a second; undefined in
+   *   a full mesh, where VMs report to each other directly, or before the first
+   *   view of a hub.
    */
   getDemand(): DemandByRegion | undefined;
-  /** @returns Whether the register was asked for VMs. */
+  /** @returns Whether the first list of the registry has completed. */
   hasListed(): boolean;
+  /** Stops reports, discovery and dialing, and closes all links. */
   stop(): void;
 }
 
 const REPORT_INTERVAL_MS = 800;
-/** Least pause between two messages that a topic is current. */
+/** Minimum interval between two `read` messages of a topic. */
 const MIN_READ_MESSAGE_INTERVAL_MS = 250;
-/** After that time a VM that is found is told of to all. */
+/** After this time newly found VMs are announced to all linked VMs. */
 const STARTUP_MS = 5_000;
-/** Seeds are dialed where the register has not answered by then. */
+/** Seeds are dialed if the registry has not answered within this time. */
 const SEED_DIAL_DELAY_MS = 500;
 /**
- * VMs that start together have all registered by then. One that lists too soon
- * takes others for its hubs than those that start after it.
+ * VMs that start together have all registered within this time. A VM that lists
+ * earlier would choose other hubs than those that start after it.
  */
 const BOOTSTRAP_LIST_DELAY_MS = 800;
 
 /**
- * @param parts What the mesh needs.
+ * Starts the mesh.
+ *
+ * @param options Its dependencies.
  * @returns The running mesh.
  */
-export function startMesh(parts: MeshOptions): Mesh {
-  const { self, table, factStore: board, clock, log } = parts;
+export function startMesh(options: MeshOptions): Mesh {
+  const { self, table, factStore, clock, log } = options;
   const links = createLinkSet(clock);
   const startedAtMs = clock.monotonicMs();
-  const repair = createFactRepair(parts);
+  const repair = createFactRepair(options);
   const readSentAtMs = new Map<SourceTopic, number>();
   const linkOptions = {
     schema: vmMessageSchema,
@@ -121,38 +146,38 @@
     clock,
     log,
     links,
-    seeds: parts.seeds,
+    seeds: options.seeds,
     canDialSeeds: () =>
       discovery.hasListed() ||
       clock.monotonicMs() - startedAtMs >= listAfterMs + SEED_DIAL_DELAY_MS,
     dial: (address) => keepLink(address, linkOptions),
   });
   const views = createHubViews({
-    ...parts,
+    ...options,
     links,
     getTopology: dialer.getTopology,
     actsAsHub: dialer.actsAsHub,
   });
   const proofs = createProofSender({
-    ...parts,
+    ...options,
     links,
-    isNeeded: parts.needsProofs,
+    isNeeded: options.needsProofs,
     isRelay: () => dialer.actsAsHub(),
   });
   const payloads = createPayloadReceiver({
-    ...parts,
+    ...options,
     links,
     isRelay: () => !dialer.getTopology().isFullMesh && dialer.actsAsHub(),
   });
-  /** What every linked VM was told of this one. */
+  /** The report as all linked VMs have it. */
   let reported: VmReport | undefined;
-  const listAfterMs = parts.isFleetBootstrap ? BOOTSTRAP_LIST_DELAY_MS : 0;
+  const listAfterMs = options.isFleetBootstrap ? BOOTSTRAP_LIST_DELAY_MS : 0;
 
   function onOpen(link: VmLink): void {
     links.add(link);
     const members = table.countKnown();
     link.send({ kind: "hello", identity: self, members });
-    const report = { ...parts.makeReport(), ...proofs.makeRequest() };
+    const report = { ...options.makeReport(), ...proofs.makeRequest() };
     link.send({ kind: "report", ...report });
   }
 
@@ -201,7 +226,7 @@
       link.send({ kind: "members", members: listIdentities() });
     }
     if (dialer.actsAsHub()) views.sendSnapshot(link, identity);
-    parts.onFound(identity);
+    options.onFound(identity);
     dialer.scheduleUpdate();
     views.scheduleChanges();
   }
@@ -212,8 +237,8 @@
     view: Extract<VmMessage, { kind: "view" }>,
   ): void {
     if (identity === undefined) return;
-    const isKnown = table.applyView(identity.id, view);
-    if (!isKnown) return link.send({ kind: "want_view" });
+    const isApplied = table.applyView(identity.id, view);
+    if (!isApplied) return link.send({ kind: "want_view" });
     if (view.up.length + view.gone.length === 0) return;
     dialer.scheduleUpdate();
     views.scheduleChanges();
@@ -249,15 +274,16 @@
     { topic, digest, isOwn }: Extract<VmMessage, { kind: "read" }>,
   ): void {
     if (repair.compare(state.facts, topic, digest)) return;
-    board.noteCurrent(topic, 0);
-    // Told on once only: passed back and forth it would stay current for ever.
+    factStore.noteCurrent(topic, 0);
+    // Forwarded only once: sent back and forth, it would keep the topic current
+    // forever.
     if (isOwn && !dialer.getTopology().isFullMesh && dialer.actsAsHub()) {
       sendRead(topic, false);
     }
   }
 
   function sendTopic(link: VmLink, topic: Topic): void {
-    link.send(makeTopicMessage(board, topic));
+    link.send(makeTopicMessage(factStore, topic));
   }
 
   function sendViewSnapshot(link: VmLink, { identity }: LinkState): void {
@@ -272,13 +298,13 @@
     return clock.monotonicMs() - startedAtMs >= STARTUP_MS;
   }
 
-  function reportNow(): void {
-    const changed = diffReport(reported, parts.makeReport());
+  function sendReport(): void {
+    const changed = diffReport(reported, options.makeReport());
     links.send({ kind: "report", ...changed, ...proofs.makeRequest() });
     reported = mergeReport(reported, changed);
   }
 
-  /** Tells that facts are current, though nothing changed. */
+  /** Announces that a topic is current, even if nothing changed. */
   function sendRead(topic: SourceTopic, isOwn: boolean): void {
     const nowMs = clock.monotonicMs();
     if (
@@ -286,28 +312,33 @@
         MIN_READ_MESSAGE_INTERVAL_MS
     ) return;
     readSentAtMs.set(topic, nowMs);
-    links.send({ kind: "read", topic, digest: board.getDigest(topic), isOwn });
+    links.send({
+      kind: "read",
+      topic,
+      digest: factStore.getDigest(topic),
+      isOwn,
+    });
   }
 
-  /** In a large fleet hubs look for VMs, and who is linked to none. */
+  /** In a large fleet only hubs and VMs without a link use the registry. */
   function mayMissVms(): boolean {
     const topology = dialer.getTopology();
     return topology.isFullMesh || isHub(topology, self) || links.isEmpty();
   }
 
-  acceptLinks(parts.server, linkOptions);
+  acceptLinks(options.server, linkOptions);
   const timer = clock.every(REPORT_INTERVAL_MS, () => {
     links.closeSilent();
     table.prune();
     dialer.updateLinks();
-    reportNow();
+    sendReport();
     views.sendChanges();
   });
   const discovery = startDiscovery({
-    ...parts,
+    ...options,
     listAfterMs,
     countKnown: () => table.countKnown(),
-    getEpoch: () => board.getEpoch("operations"),
+    getEpoch: () => factStore.getEpoch("operations"),
     shouldList: mayMissVms,
     isAlone: links.isEmpty,
     onListed: (members) => {
@@ -317,14 +348,14 @@
   });
 
   return {
-    broadcastFacts: (items) => links.send(makeFactMessage(board, items)),
+    broadcastFacts: (items) => links.send(makeFactMessage(factStore, items)),
     broadcastServerRateLimits: (rates) =>
       links.send({ kind: "server_rate_limits", rates }),
     announceRead(topic) {
       sendRead(topic, true);
       if (topic === "operations") proofs.sendProofs();
     },
-    sendReport: reportNow,
+    sendReport,
     sendTo(vmIds, message) {
       const wanted = new Set(vmIds);
       links.sendWhere(message, ({ id }) => wanted.has(id));
--- a/src/members/mesh_test.ts
+++ b/src/members/mesh_test.ts
@@ -20,7 +20,7 @@
 const clock = createSystemClock();
 const ACTIVITY: Activity = { asked: [1, 2], forgotten: [], running: [3, 4] };
 
-class EmptyRegister extends VmRegistry {
+class EmptyRegistry extends VmRegistry {
   override register(): Promise<undefined> {
     return Promise.resolve(undefined);
   }
@@ -43,16 +43,20 @@
 
 async function startTestMesh() {
   const http = await listen(createRouter(), "127.0.0.1:0");
-  const board = createNewsBoard(clock);
+  const factStore = createNewsBoard(clock);
   const found: string[] = [];
-  const told: { id: string; scope: ActivityScope; activity: Activity }[] = [];
+  const activities: {
+    id: string;
+    scope: ActivityScope;
+    activity: Activity;
+  }[] = [];
   const mesh = startMesh({
     self: makeIdentity("self", http.address),
     table: createMemberTable("self", clock),
-    factStore: board,
+    factStore,
     knowledge: createKnowledge({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
-    registry: new EmptyRegister(),
+    registry: new EmptyRegistry(),
     clock,
     log: createSilentLog(),
     server: http.server,
@@ -61,11 +65,11 @@
     makeReport: () => ({
       state: "serving",
       demandPerS: {},
-      digests: board.getDigests(),
+      digests: factStore.getDigests(),
     }),
     onFound: ({ id }) => void found.push(id),
     onActivity: ({ id }, scope, activity) =>
-      void told.push({ id, scope, activity }),
+      void activities.push({ id, scope, activity }),
     onUsage: () => {},
     onServerUsage: () => {},
     onServerRateLimits: () => [],
@@ -74,10 +78,10 @@
     mesh.stop();
     await http.close();
   };
-  return { address: http.address, board, found, told, mesh, stop };
+  return { address: http.address, factStore, found, activities, mesh, stop };
 }
 
-/** Links to a mesh; says who it is only where an identity is given. */
+/** Opens a link to a mesh; sends a hello only if an identity is given. */
 async function openLink(address: string, identity?: VmIdentity) {
   const received: VmMessage[] = [];
   let link: PeerLink<VmMessage> | undefined;
@@ -105,22 +109,22 @@
   assert.ok(condition());
 }
 
-function hasNews(received: readonly VmMessage[]): boolean {
+function hasFacts(received: readonly VmMessage[]): boolean {
   return received.some(({ kind }) => kind === "news");
 }
 
-test("news reach a link whose VM has not said yet who it is", async () => {
+test("facts are sent on a link whose hello has not arrived yet", async () => {
   const { address, mesh, stop } = await startTestMesh();
   const link = await openLink(address);
   mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
   await sleep(200);
-  const isReached = hasNews(link.received);
+  const isReached = hasFacts(link.received);
   link.close();
   await stop();
   assert.ok(isReached);
 });
 
-test("news reach all links of a VM, since one of them may be closing", async () => {
+test("facts are sent on all links of a VM, since one may be closing", async () => {
   const { address, mesh, stop } = await startTestMesh();
   const identity = makeIdentity("other", "127.0.0.1:2");
   const links = [
@@ -130,14 +134,14 @@
   await sleep(100);
   mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
   await sleep(200);
-  const reached = links.map((link) => hasNews(link.received));
+  const reached = links.map((link) => hasFacts(link.received));
   links.forEach((link) => link.close());
   await stop();
   assert.equal(reached, [true, true]);
 });
 
-test("a message reaches the VMs that it is for, and says who sent it", async () => {
-  const { address, mesh, told, stop } = await startTestMesh();
+test("a message reaches only its receivers, with its sender", async () => {
+  const { address, mesh, activities, stop } = await startTestMesh();
   const links = [
     await openLink(address, makeIdentity("near", "127.0.0.1:2")),
     await openLink(address, makeIdentity("far", "127.0.0.1:3")),
@@ -145,7 +149,7 @@
   await sleep(100);
   mesh.sendTo(["near"], { kind: "activity", scope: "vm", ...ACTIVITY });
   links[1].send({ kind: "activity", scope: "region", ...ACTIVITY });
-  await waitUntil(() => told.length === 1);
+  await waitUntil(() => activities.length === 1);
   await sleep(100);
   const reached = links.map(({ received }) =>
     received.filter(({ kind }) => kind === "activity").length
@@ -153,7 +157,11 @@
   links.forEach((link) => link.close());
   await stop();
   assert.equal(reached, [1, 0]);
-  assert.equal(told, [{ id: "far", scope: "region", activity: ACTIVITY }]);
+  assert.equal(activities, [{
+    id: "far",
+    scope: "region",
+    activity: ACTIVITY,
+  }]);
 });
 
 function makeReport(digest: TopicDigest): VmMessage {
@@ -169,7 +177,7 @@
   };
 }
 
-test("a VM without facts asks the first that has some", async () => {
+test("a VM without facts requests them from the first VM that has some", async () => {
   const { address, stop } = await startTestMesh();
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   link.send(makeReport({ facts: 2, versionSum: 7 }));
@@ -178,45 +186,49 @@
   await stop();
 });
 
-test("facts that were missed are asked for and taken in", async () => {
-  const { address, board, stop } = await startTestMesh();
-  board.apply([makeServerNews(makeServer("1"), 1)]);
+test("missed facts are requested and applied", async () => {
+  const { address, factStore, stop } = await startTestMesh();
+  factStore.apply([makeServerNews(makeServer("1"), 1)]);
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
-  const countAsks = () =>
+  const countRequests = () =>
     link.received.filter(({ kind }) => kind === "want").length;
   link.send(makeReport({ facts: 2, versionSum: 7 }));
   await sleep(200);
-  assert.is(countAsks(), 0, "news may be on their way");
+  assert.is(countRequests(), 0, "updates may be in flight");
   await sleep(1_000);
   link.send(makeReport({ facts: 2, versionSum: 7 }));
-  await waitUntil(() => countAsks() === 1);
+  await waitUntil(() => countRequests() === 1);
   link.send({
     kind: "news",
     items: packNews([makeServerNews(makeServer("2"), 6)]),
   });
-  await waitUntil(() => board.getDigest("servers").versionSum === 7);
+  await waitUntil(() => factStore.getDigest("servers").versionSum === 7);
   link.close();
   await stop();
 });
 
-test("a VM that asks gets all facts of the topic, removals too", async () => {
-  const { address, board, stop } = await startTestMesh();
-  board.apply([makeServerNews(makeServer("1"), 1)]);
-  board.apply([{ topic: "servers", key: "server/2", version: makeVersion(2) }]);
+test("a requested topic is sent whole, including removals", async () => {
+  const { address, factStore, stop } = await startTestMesh();
+  factStore.apply([makeServerNews(makeServer("1"), 1)]);
+  factStore.apply([{
+    topic: "servers",
+    key: "server/2",
+    version: makeVersion(2),
+  }]);
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   link.send({ kind: "want", topic: "servers" });
-  await waitUntil(() => hasNews(link.received));
-  const [news] = link.received.filter(({ kind }) => kind === "news");
-  assert.is(news.kind === "news" && news.items.length, 2);
+  await waitUntil(() => hasFacts(link.received));
+  const [message] = link.received.filter(({ kind }) => kind === "news");
+  assert.is(message.kind === "news" && message.items.length, 2);
   link.close();
   await stop();
 });
 
-test("reports with any small number reach a link whole", async () => {
-  const { address, board, mesh, stop } = await startTestMesh();
+test("reports with any small number of facts arrive intact", async () => {
+  const { address, factStore, mesh, stop } = await startTestMesh();
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   for (let count = 0; count < 140; count++) {
-    board.apply([makeServerNews(makeServer(`${count}`), 1)]);
+    factStore.apply([makeServerNews(makeServer(`${count}`), 1)]);
     mesh.sendReport();
   }
   const listFacts = () =>
@@ -232,7 +244,7 @@
   await stop();
 });
 
-test("VMs that say who they are are told of", async () => {
+test("the listener is called for each VM that sends a hello", async () => {
   const { address, found, stop } = await startTestMesh();
   const link = await openLink(address, makeIdentity("new", "127.0.0.1:2"));
   await waitUntil(() => found.length > 0);
--- a/src/members/messages.ts
+++ b/src/members/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between VMs, and their check on arrival.
+ * Messages between VMs and the schemas that validate them on arrival.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 const MAX_ITEMS = 10_000;
 const MAX_SERVER_NAME = 200;
 const MAX_EPOCHS = 64;
-/** What 4,096 servers were asked for, 128 objects each, and the servers. */
+/** Pairs of 4,096 servers with 128 objects each, two numbers per pair. */
 const MAX_NUMBERS = 1_100_000;
 
-/** Checks how a VM is reached. */
+/** Schema of a VM's identity. */
 export const identitySchema = z.object({
   id: z.string().max(128),
   incarnation: z.string().max(64),
@@ -22,13 +22,14 @@
   failureDomain: z.string().max(64),
   frontAddress: z.string().max(64),
   peerAddress: z.string().max(64),
-  /** Absent in entries of VMs that are older. */
+  /** Absent in entries of VMs of earlier versions. */
   cores: z.number().positive().default(1),
 });
 
 /**
- * Pairs of whole numbers, one after the other. Checked in one go: there are a
- * thousand of them in a message, five times a second.
+ * Flattened pairs of non-negative integers. Validated by one function rather
+ * than by an array schema, since messages hold about a thousand of them and
+ * arrive five times a second.
  */
 const pairsSchema = z.custom<number[]>(isPairs);
 
@@ -40,7 +41,7 @@
 
 const stateSchema = z.enum(["starting", "serving", "leaving"]);
 
-/** Requests a second by service. */
+/** Demand by service, in requests a second. */
 const demandSchema = z.record(z.string().max(200), z.number().nonnegative());
 
 const sourceTopicSchema = z.enum(["operations", "servers"]);
@@ -65,16 +66,16 @@
   usage: usageSchema,
 };
 
-/** Checks messages between VMs. */
+/** Schema of messages between VMs. */
 export const vmMessageSchema = z.discriminatedUnion("kind", [
-  /** First message of both sides. */
+  /** The first message of each side. */
   z.object({
     kind: z.literal("hello"),
     identity: identitySchema,
-    /** How many VMs the sender knows. */
+    /** The number of VMs that the sender knows. */
     members: z.number().int().nonnegative(),
   }),
-  /** How the sender is, sent again and again; what is absent is as before. */
+  /** The sender's periodic report; absent fields are unchanged. */
   z.object({
     kind: z.literal("report"),
     state: stateSchema.optional(),
@@ -82,36 +83,36 @@
     digests: z.object({
       operations: digestSchema,
       servers: digestSchema,
-      /** Absent in reports of VMs that are older. */
+      /** Absent in reports of VMs of earlier versions. */
       suspects: digestSchema.default({ facts: 0, versionSum: 0 }),
     }).optional(),
-    /** A moment of the sender, which proofs refer to. */
+    /** An instant of the sender's clock, which proofs refer to. */
     stamp: z.number().int().nonnegative().optional(),
-    /** Proven age of what the sender knows; absent where nothing is proven. */
+    /** Proven age of the sender's configuration; absent without a proof. */
     knowledgeAgeMs: z.number().nonnegative().optional(),
   }),
-  /** How old the sender's knowledge of the configuration is. */
+  /** Proof of the age of the sender's configuration. */
   z.object({
     kind: z.literal("proof"),
-    /** Read by VMs of earlier versions only. */
+    /** Used by VMs of earlier versions only. */
     version: z.number().nonnegative(),
-    /** The number of the configuration; absent where the VM is older. */
+    /** The configuration's number; absent from VMs of earlier versions. */
     configuration: z.number().nonnegative().optional(),
     ageMs: z.number().nonnegative(),
     stamp: z.number().int().nonnegative(),
     heldMs: z.number().nonnegative(),
   }),
-  /** What was used of limits lately. */
+  /** Recent usage of client accounts' limits. */
   z.object({
     kind: z.literal("usage"),
     ...usageFields,
   }),
-  /** The same of rate limits of backend servers. */
+  /** Recent usage of backend servers' rate limits. */
   z.object({
     kind: z.literal("server_usage"),
     ...usageFields,
   }),
-  /** Rate limits of backend servers, or that they were lifted. */
+  /** Rate limits of backend servers; a limit without a rate was lifted. */
   z.object({
     kind: z.literal("server_rate_limits"),
     rates: z.array(z.object({
@@ -120,12 +121,12 @@
       ageMs: z.number().nonnegative(),
     })).max(MAX_ITEMS),
   }),
-  /** A topic was read from its source just now. */
+  /** Announces that a topic was just read from its source. */
   z.object({
     kind: z.literal("read"),
     topic: sourceTopicSchema,
     digest: digestSchema,
-    /** Whether the sender read it, and not another one that told the sender. */
+    /** Whether the sender itself read it, rather than forwarding the message. */
     isOwn: z.boolean(),
   }),
   /** A hub's view of the VMs that are up. */
@@ -139,19 +140,19 @@
     gone: z.array(z.string().max(128)).max(MAX_MEMBERS),
     demandPerS: z.record(z.string().max(64), demandSchema),
   }),
-  /** Asks a hub for its whole view. */
+  /** Requests a snapshot of a hub's view. */
   z.object({ kind: z.literal("want_view") }),
-  /** VMs that the sender knows, for one that knows fewer. */
+  /** VMs that the sender knows, for a receiver that knows fewer. */
   z.object({
     kind: z.literal("members"),
     members: z.array(identitySchema).max(MAX_MEMBERS),
   }),
-  /** Asks for all facts of a topic. */
+  /** Requests all facts of a topic. */
   z.object({
     kind: z.literal("want"),
     topic: topicSchema,
   }),
-  /** Facts that the receiver may not know, and the epochs they refer to. */
+  /** Facts that may be new to the receiver, and the epochs they refer to. */
   z.object({
     kind: z.literal("news"),
     items: z.array(newsItemSchema).max(MAX_ITEMS),
@@ -159,10 +160,10 @@
       operations: epochStartsSchema,
       servers: epochStartsSchema,
     }).optional(),
-    /** Set where the items are all facts of a topic that there are. */
+    /** The topic, if the items are all facts that exist of it. */
     whole: sourceTopicSchema.optional(),
   }),
-  /** Requests at backend servers, and what those were asked for. */
+  /** Running requests at backend servers, and the objects requested there. */
   z.object({
     kind: z.literal("activity"),
     scope: z.enum(["vm", "region", "all", "past"]),
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between VMs that speak of requests, facts and limits, not of who is
- * up.
+ * Messages between VMs about facts, limits and activity, as opposed to those
+ * about membership.
  *
  * @module
  */
@@ -21,22 +21,40 @@
 import type { VmMessage } from "./messages.ts";
 import type { VmIdentity } from "./types.ts";
 
-/** Who is told of what came. */
+/** Callbacks for received payloads. */
 export interface PayloadListeners {
-  /** Told of what other VMs do at backend servers. */
+  /**
+   * Called with another VM's activity at backend servers.
+   *
+   * @param from The sender.
+   * @param scope The requests that the activity covers.
+   * @param activity The activity.
+   */
   onActivity: (
     from: VmIdentity,
     scope: ActivityScope,
     activity: Activity,
   ) => void;
-  /** Told of what client accounts used at other VMs. */
-  onUsage: (from: VmIdentity, news: UsageNews) => void;
-  /** Told of what other VMs sent to servers with a rate limit. */
-  onServerUsage: (from: VmIdentity, news: UsageNews) => void;
   /**
-   * Told of rate limits of servers.
+   * Called with the usage of client accounts at other VMs.
+   *
+   * @param from The sender.
+   * @param usage The usage, and the VMs that it covers.
+   */
+  onUsage: (from: VmIdentity, usage: UsageNews) => void;
+  /**
+   * Called with the usage of rate-limited backend servers by other VMs.
+   *
+   * @param from The sender.
+   * @param usage The usage, and the VMs that it covers.
+   */
+  onServerUsage: (from: VmIdentity, usage: UsageNews) => void;
+  /**
+   * Called with rate limits of backend servers.
    *
-   * @returns Those that are new here.
+   * @param from The sender.
+   * @param rates The rate limits.
+   * @returns Those that were new to this VM.
    */
   onServerRateLimits: (
     from: VmIdentity,
@@ -47,47 +65,57 @@
 type FactMessage = Extract<VmMessage, { kind: "news" }>;
 
 /**
- * @param board All facts of this VM.
- * @param items Some of them.
- * @returns The message that tells them.
+ * Builds a message with some facts.
+ *
+ * @param factStore The facts of this VM.
+ * @param items The facts to send.
+ * @returns The message, with the epochs that the facts refer to.
  */
 export function makeFactMessage(
-  board: NewsBoard,
+  factStore: NewsBoard,
   items: readonly NewsItem[],
 ): FactMessage {
   const epochs = {
-    operations: board.listEpochs("operations"),
-    servers: board.listEpochs("servers"),
+    operations: factStore.listEpochs("operations"),
+    servers: factStore.listEpochs("servers"),
   };
   return { kind: "news", items: packNews(items), epochs };
 }
 
 /**
- * @param board All facts of this VM.
- * @param topic A topic.
- * @returns The message that tells all of it.
+ * Builds a message with all facts of a topic.
+ *
+ * @param factStore The facts of this VM.
+ * @param topic The topic.
+ * @returns The message; marked as whole if this VM holds all facts of the topic,
+ *   so that the receiver can drop facts that a restore lost.
  */
-export function makeTopicMessage(board: NewsBoard, topic: Topic): FactMessage {
-  const message = makeFactMessage(board, board.listTopic(topic));
-  const isWhole = topic !== "suspects" && board.isComplete(topic);
+export function makeTopicMessage(
+  factStore: NewsBoard,
+  topic: Topic,
+): FactMessage {
+  const message = makeFactMessage(factStore, factStore.listTopic(topic));
+  const isWhole = topic !== "suspects" && factStore.isComplete(topic);
   return isWhole ? { ...message, whole: topic } : message;
 }
 
-/** What receiving needs. */
+/** Dependencies of the payload receiver. */
 export interface PayloadOptions extends PayloadListeners {
   factStore: NewsBoard;
   links: LinkSet;
   log: Log;
-  /** Whether VMs hear of what others told by way of this one. */
+  /** @returns Whether this VM forwards facts between other VMs. */
   isRelay: () => boolean;
 }
 
-/** Receives payloads. */
+/** Dispatches received payloads. */
 export interface PayloadReceiver {
   /**
-   * @param link The link that it came on.
-   * @param sender The VM at its other end, once it said who it is.
-   * @param message Any message; those of other kinds are left alone.
+   * Handles a message.
+   *
+   * @param link The link that it arrived on.
+   * @param sender The VM at the other end; undefined before its hello.
+   * @param message Any message; other kinds than payloads are ignored.
    */
   receive(
     link: VmLink,
@@ -97,33 +125,37 @@
 }
 
 /**
- * @param parts What receiving needs.
+ * Creates a payload receiver.
+ *
+ * @param options Its dependencies.
  * @returns The receiver.
  */
-export function createPayloadReceiver(parts: PayloadOptions): PayloadReceiver {
-  const { factStore: board, links, log } = parts;
+export function createPayloadReceiver(
+  options: PayloadOptions,
+): PayloadReceiver {
+  const { factStore, links, log } = options;
 
-  function receiveNews(
+  function receiveFacts(
     link: VmLink,
     { items, epochs, whole }: FactMessage,
   ): void {
     for (const topic of SOURCE_TOPICS) {
-      board.noteEpochs(topic, epochs?.[topic] ?? []);
+      factStore.noteEpochs(topic, epochs?.[topic] ?? []);
     }
-    const told = unpackNews(items, board.getEpoch);
-    const news = whole === undefined
-      ? board.apply(told)
-      : board.applySettled(whole, told);
-    if (news.length === 0) return;
-    logConfiguration(link, news);
-    passOn(link, makeFactMessage(board, news));
+    const received = unpackNews(items, factStore.getEpoch);
+    const updates = whole === undefined
+      ? factStore.apply(received)
+      : factStore.applySettled(whole, received);
+    if (updates.length === 0) return;
+    logConfiguration(link, updates);
+    forward(link, makeFactMessage(factStore, updates));
   }
 
-  function logConfiguration(link: VmLink, news: readonly NewsItem[]): void {
-    const told = news.find(({ key }) => key === CONFIGURATION_KEY);
-    if (told === undefined) return;
+  function logConfiguration(link: VmLink, updates: readonly NewsItem[]): void {
+    const update = updates.find(({ key }) => key === CONFIGURATION_KEY);
+    if (update === undefined) return;
     const from = links.get(link)?.identity?.id ?? link.peer;
-    log.info({ from, source: told.version }, "configuration told");
+    log.info({ from, source: update.version }, "configuration received");
   }
 
   function receiveRateLimits(
@@ -131,16 +163,16 @@
     sender: VmIdentity,
     rates: RateLimitNews[],
   ): void {
-    const news = parts.onServerRateLimits(sender, rates);
-    if (news.length === 0) return;
-    passOn(link, { kind: "server_rate_limits", rates: news });
+    const changed = options.onServerRateLimits(sender, rates);
+    if (changed.length === 0) return;
+    forward(link, { kind: "server_rate_limits", rates: changed });
   }
 
-  function passOn(from: VmLink, message: VmMessage): void {
-    if (parts.isRelay()) links.sendWhere(message, () => true, from);
+  function forward(from: VmLink, message: VmMessage): void {
+    if (options.isRelay()) links.sendWhere(message, () => true, from);
   }
 
-  function toUsageNews(
+  function toUsage(
     { scope, vms, usage }: Extract<
       VmMessage,
       { kind: "usage" | "server_usage" }
@@ -151,19 +183,19 @@
 
   return {
     receive(link, sender, message) {
-      if (message.kind === "news") return receiveNews(link, message);
+      if (message.kind === "news") return receiveFacts(link, message);
       if (sender === undefined) return;
       switch (message.kind) {
         case "usage":
-          return parts.onUsage(sender, toUsageNews(message));
+          return options.onUsage(sender, toUsage(message));
         case "server_usage":
-          return parts.onServerUsage(sender, toUsageNews(message));
+          return options.onServerUsage(sender, toUsage(message));
         case "server_rate_limits":
           return receiveRateLimits(link, sender, message.rates);
         case "activity": {
           const { scope, asked, forgotten, running } = message;
           const activity = { asked, forgotten, running };
-          return parts.onActivity(sender, scope, activity);
+          return options.onActivity(sender, scope, activity);
         }
       }
     },
--- a/src/members/proofs.ts
+++ b/src/members/proofs.ts
@@ -1,10 +1,9 @@
 /**
- * Tells other VMs how old this VM's knowledge of the configuration is, and asks
- * them.
+ * Exchanges proofs of how old each VM's knowledge of the configuration is.
  *
- * A VM that read the platform tells all that are linked to it, and hubs tell it
- * on. A VM whose reports show that it knows less lately than this one is told
- * as well: one that the platform turns away lives by what others know.
+ * A VM that read the platform sends proofs to all linked VMs, and hubs forward
+ * them. A VM whose report shows older knowledge than this VM's gets a proof too:
+ * a VM that the platform rejects depends on the knowledge of others.
  *
  * @module
  */
@@ -12,46 +11,65 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 
-/** What a VM shows in its reports. */
+/** The fields of a report that request a proof. */
 export interface ProofRequest {
+  /** An instant of the sender's clock, which the proof refers to. */
   stamp?: number;
+  /** Proven age of the sender's knowledge; absent without a proof. */
   knowledgeAgeMs?: number;
 }
 
-/** A proof as VMs send it. */
+/** A proof as sent between VMs; `configuration` is its version. */
 export type ProofMessage = Omit<Proof, "version"> & { configuration?: number };
 
-/** What telling needs. */
+/** Dependencies of the proof sender. */
 export interface ProofSenderOptions {
   clock: Clock;
   links: LinkSet;
   knowledge: Knowledge;
-  /** Whether anything hangs on how old knowledge is. */
+  /** @returns Whether anything depends on the age of the knowledge. */
   isNeeded: () => boolean;
-  /** Whether what others prove is told on. */
+  /** @returns Whether this VM forwards proofs. */
   isRelay: () => boolean;
 }
 
-/** Tells and asks. */
+/** Sends and requests proofs. */
 export interface ProofSender {
-  /** @returns What a report shows, so that others can answer. */
+  /** @returns Fields to add to a report, so that others can answer with a proof. */
   makeRequest(): ProofRequest;
-  receiveRequest(link: VmLink, question: ProofRequest): void;
+  /**
+   * Stores a request, and answers it if that helps the sender.
+   *
+   * @param link The link that it arrived on.
+   * @param request The fields from the report.
+   */
+  receiveRequest(link: VmLink, request: ProofRequest): void;
+  /**
+   * Applies a proof, and forwards what it proves if this VM is a relay.
+   *
+   * @param link The link that it arrived on.
+   * @param message The proof.
+   */
   receiveProof(link: VmLink, message: ProofMessage): void;
-  /** Tells all VMs that are linked, but for one. */
+  /**
+   * Sends proofs on all links whose peers have requested one, at a limited rate.
+   *
+   * @param except A link to leave out.
+   */
   sendProofs(except?: VmLink): void;
 }
 
-/** Least pause between two tellings. */
+/** Minimum interval between two rounds of proofs. */
 const MIN_SEND_INTERVAL_MS = 250;
-/** VMs whose knowledge is no older are told in time anyway. */
+/** VMs with knowledge no older than this get their regular proof in time. */
 const MIN_ANSWERED_AGE_MS = 1_500;
-/** A proof is worth a message where it makes knowledge newer by this. */
+/** A proof is sent only if it makes the receiver's knowledge newer by this. */
 const MIN_ANSWER_GAIN_MS = 500;
 
 /**
- * VMs of earlier versions take this for a configuration that they lack: they
- * counted by the source's numbers, which prove nothing after a restore.
+ * Sent in the field that VMs of earlier versions compare. They use the source's
+ * numbers, which prove nothing after a restore; with this value they assume a
+ * configuration that they lack, and so accept no proof.
  */
 const UNMATCHED_VERSION = Number.MAX_SAFE_INTEGER;
 
@@ -61,18 +79,20 @@
 }
 
 /**
- * @param parts What telling needs.
- * @returns A teller that was asked nothing.
+ * Creates a proof sender.
+ *
+ * @param options Its dependencies.
+ * @returns A sender without stored requests.
  */
-export function createProofSender(parts: ProofSenderOptions): ProofSender {
-  const { clock, links, knowledge } = parts;
+export function createProofSender(options: ProofSenderOptions): ProofSender {
+  const { clock, links, knowledge } = options;
   const lastRequests = new WeakMap<VmLink, StoredRequest>();
   let sentAtMs = -Infinity;
 
   function answer(link: VmLink): void {
-    const question = lastRequests.get(link);
-    if (question === undefined) return;
-    const proof = knowledge.makeProof(question.stamp, question.arrivedAt);
+    const request = lastRequests.get(link);
+    if (request === undefined) return;
+    const proof = knowledge.makeProof(request.stamp, request.arrivedAt);
     if (proof === undefined) return;
     const { version: configuration, ...rest } = proof;
     link.send({
@@ -83,9 +103,9 @@
     });
   }
 
-  function tell(except?: VmLink): void {
+  function sendProofs(except?: VmLink): void {
     const nowMs = clock.monotonicMs();
-    if (!parts.isNeeded() || nowMs - sentAtMs < MIN_SEND_INTERVAL_MS) return;
+    if (!options.isNeeded() || nowMs - sentAtMs < MIN_SEND_INTERVAL_MS) return;
     sentAtMs = nowMs;
     links.forEach((link) => {
       if (link !== except) answer(link);
@@ -94,7 +114,7 @@
 
   return {
     makeRequest() {
-      if (!parts.isNeeded()) return {};
+      if (!options.isNeeded()) return {};
       const stamp = knowledge.makeStamp();
       const ageMs = knowledge.getAgeMs();
       return ageMs === Infinity ? { stamp } : { stamp, knowledgeAgeMs: ageMs };
@@ -109,9 +129,9 @@
     receiveProof(link, { configuration, ageMs, stamp, heldMs }) {
       if (configuration === undefined) return;
       const proof = { version: configuration, ageMs, stamp, heldMs };
-      const isNews = knowledge.noteProof(proof);
-      if (isNews && parts.isRelay()) tell(link);
+      const isNewer = knowledge.noteProof(proof);
+      if (isNewer && options.isRelay()) sendProofs(link);
     },
-    sendProofs: tell,
+    sendProofs,
   };
 }
--- a/src/members/proofs_test.ts
+++ b/src/members/proofs_test.ts
@@ -19,42 +19,45 @@
     sendFrame: () => {},
     close: () => {},
   };
-  const teller = createProofSender({
+  const sender = createProofSender({
     clock,
     links: createLinkSet(clock),
     knowledge,
     isNeeded: () => true,
     isRelay: () => false,
   });
-  return { knowledge, sent, link, teller };
+  return { knowledge, sent, link, sender };
 }
 
-/** A VM that has read configuration 7 answers another one's question. */
+/** A VM that read configuration 7 answers another VM's request. */
 function answer() {
   const reader = startVm(7);
-  const asking = startVm(7);
+  const requester = startVm(7);
   reader.knowledge.noteReading(reader.knowledge.getInstant());
-  const { stamp } = asking.teller.makeRequest();
-  reader.teller.receiveRequest(reader.link, { stamp });
+  const { stamp } = requester.sender.makeRequest();
+  reader.sender.receiveRequest(reader.link, { stamp });
   const [message] = reader.sent;
   assert.is(message.kind, "proof");
-  return { asking, message: message as Extract<VmMessage, { kind: "proof" }> };
+  return {
+    requester,
+    message: message as Extract<VmMessage, { kind: "proof" }>,
+  };
 }
 
-test("a proof names the configuration by its own number", () => {
-  const { asking, message } = answer();
+test("a proof refers to the configuration's own number", () => {
+  const { requester, message } = answer();
   assert.is(message.configuration, 7);
-  asking.teller.receiveProof(asking.link, message);
-  assert.is(asking.knowledge.getAgeMs(), 0);
+  requester.sender.receiveProof(requester.link, message);
+  assert.is(requester.knowledge.getAgeMs(), 0);
 });
 
-// VMs of earlier versions count by the source's numbers, which come again.
-test("between VMs of two program versions nothing is proven", () => {
-  const { asking, message } = answer();
+// VMs of earlier versions use the source's numbers, which repeat after a restore.
+test("VMs of different program versions accept no proofs from each other", () => {
+  const { requester, message } = answer();
   assert.is(message.version, Number.MAX_SAFE_INTEGER);
   const { configuration: _, ...earlier } = message;
-  asking.teller.receiveProof(asking.link, earlier);
-  assert.is(asking.knowledge.getAgeMs(), Infinity);
+  requester.sender.receiveProof(requester.link, earlier);
+  assert.is(requester.knowledge.getAgeMs(), Infinity);
 });
 
 test.run();
--- a/src/members/repair.ts
+++ b/src/members/repair.ts
@@ -1,8 +1,9 @@
 /**
- * Finds out which facts this VM missed, and asks another VM for them.
+ * Anti-entropy: detects from digests that this VM missed facts, and requests
+ * them from another VM.
  *
- * Facts pass once on each link, so that a VM misses those that pass while it
- * has no link to the VM that passes them on.
+ * Each fact is sent only once on each link, so that a VM misses the facts that
+ * are sent while it has no link to the sender.
  *
  * @module
  */
@@ -12,26 +13,32 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 
-/** A VM that facts may be asked of. */
+/** A VM that facts can be requested from. */
 export interface FactPeer {
-  /** Its address, for logs. */
+  /** The VM's address, for logs. */
   peer: string;
-  /** Asks it for all facts of a topic. */
+  /**
+   * Requests all facts of a topic.
+   *
+   * @param topic The topic.
+   */
   requestTopic(topic: Topic): void;
 }
 
-/** Compares this VM's facts with those of others. */
+/** Compares the facts of this VM with those of others. */
 export interface FactRepair {
   /**
-   * @param other The other VM, the same object for each message of a link.
-   * @param topic A topic.
-   * @param digest What the other VM knows of it.
-   * @returns Whether this VM lacks facts; they are asked for then.
+   * Compares digests of a topic, and requests the topic if facts are missing.
+   *
+   * @param other The other VM; the same object for every message of a link.
+   * @param topic The topic.
+   * @param digest The other VM's digest of the topic.
+   * @returns Whether this VM lacks facts. Requests are rate-limited.
    */
   compare(other: FactPeer, topic: Topic, digest: TopicDigest): boolean;
 }
 
-/** What a repair needs. */
+/** Dependencies of the fact repair. */
 export interface FactRepairOptions {
   factStore: NewsBoard;
   clock: Clock;
@@ -39,15 +46,19 @@
 }
 
 /**
- * News on their way show as a difference too, for a pause of the reader (150 ms)
- * and a round trip (70 ms) at most. A difference that lasts this long is none
- * of these, and leaves time to be in force within the shortest limit (2 s).
+ * Updates in flight make digests differ too, for at most one interval of the
+ * reader (150 ms) and one round trip (70 ms). A difference that lasts this long
+ * has another cause, and the repaired facts can still take effect within the
+ * shortest limit (2 s).
  */
 const DIVERGENCE_TIMEOUT_MS = 1_000;
-/** One VM is asked at a time; an answer takes a round trip. */
+/** Requests go to one VM at a time; an answer takes a round trip. */
 const REQUEST_PAUSE_MS = 500;
 
-/** Whether another VM has lived through a restore before this one began. */
+/**
+ * Whether another VM ran through a restore that took place before this VM
+ * started: its first epoch is earlier.
+ */
 function hasEarlierEpoch(
   { epochs = [] }: TopicDigest,
   own: readonly EpochStart[],
@@ -57,12 +68,14 @@
 }
 
 /**
- * @param parts What the repair needs.
- * @returns A repair that has compared nothing.
+ * Creates a fact repair.
+ *
+ * @param options Its dependencies.
+ * @returns The repair.
  */
-export function createFactRepair(parts: FactRepairOptions): FactRepair {
-  const { factStore: board, clock, log } = parts;
-  const askedAtMs = new Map<Topic, number>();
+export function createFactRepair(options: FactRepairOptions): FactRepair {
+  const { factStore, clock, log } = options;
+  const sentAtMs = new Map<Topic, number>();
   const differentSinceMs = new WeakMap<FactPeer, Map<Topic, number>>();
 
   function getSince(other: FactPeer): Map<Topic, number> {
@@ -73,19 +86,22 @@
     return since;
   }
 
-  function ask(other: FactPeer, topic: Topic): void {
+  function requestTopic(other: FactPeer, topic: Topic): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - (askedAtMs.get(topic) ?? -Infinity) < REQUEST_PAUSE_MS) return;
-    askedAtMs.set(topic, nowMs);
-    log.info({ peer: other.peer, topic }, "facts differ, asking");
+    if (nowMs - (sentAtMs.get(topic) ?? -Infinity) < REQUEST_PAUSE_MS) return;
+    sentAtMs.set(topic, nowMs);
+    log.info({ peer: other.peer, topic }, "facts differ, requesting topic");
     other.requestTopic(topic);
   }
 
   return {
     compare(other, topic, digest) {
-      const startedLater = hasEarlierEpoch(digest, board.listEpochs(topic));
-      board.noteEpochs(topic, digest.epochs ?? []);
-      const own = board.getDigest(topic);
+      const startedAfterRestore = hasEarlierEpoch(
+        digest,
+        factStore.listEpochs(topic),
+      );
+      factStore.noteEpochs(topic, digest.epochs ?? []);
+      const own = factStore.getDigest(topic);
       const since = getSince(other);
       if (isSameDigest(own, digest)) {
         since.delete(topic);
@@ -94,9 +110,9 @@
       const nowMs = clock.monotonicMs();
       const sinceMs = since.get(topic) ?? nowMs;
       since.set(topic, sinceMs);
-      const isLacking = own.facts === 0 || startedLater ||
+      const isLacking = own.facts === 0 || startedAfterRestore ||
         nowMs - sinceMs >= DIVERGENCE_TIMEOUT_MS;
-      if (isLacking && digest.facts > 0) ask(other, topic);
+      if (isLacking && digest.facts > 0) requestTopic(other, topic);
       return isLacking;
     },
   };
--- a/src/members/repair_test.ts
+++ b/src/members/repair_test.ts
@@ -11,9 +11,9 @@
 
 function startRepair() {
   const clock = createFakeClock();
-  const board = createNewsBoard(clock);
+  const factStore = createNewsBoard(clock);
   const repair = createFactRepair({
-    factStore: board,
+    factStore,
     clock,
     log: createSilentLog(),
   });
@@ -22,25 +22,25 @@
     peer: "a",
     requestTopic: (topic: Topic) => void asked.push(topic),
   };
-  return { clock, board, repair, asked, peer };
+  return { clock, factStore, repair, asked, peer };
 }
 
-test("a VM without facts asks at once, of one VM at a time", () => {
+test("a VM without facts requests them at once, from one VM at a time", () => {
   const { repair, asked, peer } = startRepair();
   assert.ok(repair.compare(peer, "servers", OTHER));
   assert.ok(repair.compare({ ...peer }, "servers", OTHER));
   assert.equal(asked, ["servers"]);
 });
 
-test("nobody is asked for facts that it has none of", () => {
+test("no facts are requested from a VM that has none", () => {
   const { repair, asked, peer } = startRepair();
   repair.compare(peer, "servers", { facts: 0, versionSum: 3 });
   assert.equal(asked, []);
 });
 
-test("a difference that lasts is asked about, one in passing is not", () => {
-  const { clock, board, repair, asked, peer } = startRepair();
-  board.apply([makeServerNews(makeServer("1"), 1)]);
+test("facts are requested for a lasting difference, not for a passing one", () => {
+  const { clock, factStore, repair, asked, peer } = startRepair();
+  factStore.apply([makeServerNews(makeServer("1"), 1)]);
   assert.not(repair.compare(peer, "servers", OTHER));
   clock.advance(900);
   assert.not(repair.compare(peer, "servers", OTHER));
@@ -52,11 +52,11 @@
   assert.equal(asked, ["servers"]);
 });
 
-test("changes that keep coming are no lasting difference", () => {
-  const { clock, board, repair, asked, peer } = startRepair();
+test("continuous changes are no lasting difference", () => {
+  const { clock, factStore, repair, asked, peer } = startRepair();
   for (let version = 1; version < 30; version++) {
     repair.compare(peer, "servers", { facts: 1, versionSum: version });
-    board.apply([makeServerNews(makeServer("1"), version)]);
+    factStore.apply([makeServerNews(makeServer("1"), version)]);
     clock.advance(330);
     if (version > 1) {
       repair.compare(peer, "servers", { facts: 1, versionSum: version });
@@ -65,17 +65,17 @@
   assert.is(asked.length, 1, "only while it had no facts");
 });
 
-test("a VM that began after a restore asks one that has lived through it", () => {
-  const { board, repair, asked, peer } = startRepair();
-  board.noteEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
-  board.apply([makeServerNews(makeServer("1"), 40, 2)]);
+test("a VM started after a restore requests facts from one that ran before", () => {
+  const { factStore, repair, asked, peer } = startRepair();
+  factStore.noteEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
+  factStore.apply([makeServerNews(makeServer("1"), 40, 2)]);
   const epochs = [
     { epoch: 1, copiedThrough: 0, isSettled: true },
     { epoch: 2, copiedThrough: 48 },
   ];
   assert.ok(repair.compare(peer, "servers", { ...OTHER, epochs }));
   assert.equal(asked, ["servers"]);
-  assert.equal(board.listEpochs("servers"), epochs);
+  assert.equal(factStore.listEpochs("servers"), epochs);
 });
 
 test.run();
--- a/src/members/report_delta.ts
+++ b/src/members/report_delta.ts
@@ -1,8 +1,8 @@
 /**
- * What a VM's report leaves out because it hardly changed.
+ * Delta encoding of VM reports: fields that hardly changed are left out.
  *
- * Reports go to all VMs of all regions again and again, mostly to show that the
- * VM is there.
+ * Every VM sends reports periodically to all VMs that it is linked to. Most of
+ * them serve only as heartbeats.
  *
  * @module
  */
@@ -10,60 +10,71 @@
 import { isSameDigest, TOPICS } from "../news/types.ts";
 import type { VmReport } from "./types.ts";
 
-/** The parts of a report that a receiver doesn't know yet. */
+/** The fields of a report that the receiver doesn't have yet. */
 export type ReportDelta = Partial<VmReport>;
 
-/** Changes of demand below this part, or this many a second, are left out. */
+/**
+ * A change of a service's demand is sent only where it exceeds both this share
+ * of the last reported rate and the absolute minimum below.
+ */
 const MIN_DEMAND_CHANGE_SHARE = 0.15;
 const MIN_DEMAND_CHANGE_PER_S = 1;
 
 /**
- * @param told What the receivers know; undefined for new ones.
- * @param now How the VM is.
- * @returns What they have to be told.
+ * Picks the fields of a report that have to be sent.
+ *
+ * @param reported The report as the receivers have it; undefined before the
+ *   first.
+ * @param current The VM's current report.
+ * @returns The fields that changed.
  */
 export function diffReport(
-  told: VmReport | undefined,
-  now: VmReport,
+  reported: VmReport | undefined,
+  current: VmReport,
 ): ReportDelta {
-  if (told === undefined) return now;
-  const parts: ReportDelta = {};
-  if (told.state !== now.state) parts.state = now.state;
-  if (hasDemandChanged(told.demandPerS, now.demandPerS)) {
-    parts.demandPerS = now.demandPerS;
+  if (reported === undefined) return current;
+  const delta: ReportDelta = {};
+  if (reported.state !== current.state) delta.state = current.state;
+  if (hasDemandChanged(reported.demandPerS, current.demandPerS)) {
+    delta.demandPerS = current.demandPerS;
   }
   const isSame = TOPICS.every((topic) =>
-    isSameDigest(told.digests[topic], now.digests[topic]) &&
-    isDeepStrictEqual(told.digests[topic].epochs, now.digests[topic].epochs)
+    isSameDigest(reported.digests[topic], current.digests[topic]) &&
+    isDeepStrictEqual(
+      reported.digests[topic].epochs,
+      current.digests[topic].epochs,
+    )
   );
-  if (!isSame) parts.digests = now.digests;
-  return parts;
+  if (!isSame) delta.digests = current.digests;
+  return delta;
 }
 
 /**
- * @param known The last report; undefined before the first.
- * @param parts What came.
- * @returns The whole report; undefined while parts of it never came.
+ * Applies a delta to a report.
+ *
+ * @param known The report so far; undefined before the first delta.
+ * @param delta The fields received.
+ * @returns The complete report; undefined while a field was never received.
  */
 export function mergeReport(
   known: VmReport | undefined,
-  parts: ReportDelta,
+  delta: ReportDelta,
 ): VmReport | undefined {
-  const state = parts.state ?? known?.state;
-  const demandPerS = parts.demandPerS ?? known?.demandPerS;
-  const digests = parts.digests ?? known?.digests;
+  const state = delta.state ?? known?.state;
+  const demandPerS = delta.demandPerS ?? known?.demandPerS;
+  const digests = delta.digests ?? known?.digests;
   if (state === undefined || demandPerS === undefined) return undefined;
   return digests === undefined ? undefined : { state, demandPerS, digests };
 }
 
 function hasDemandChanged(
-  told: VmReport["demandPerS"],
-  now: VmReport["demandPerS"],
+  reported: VmReport["demandPerS"],
+  current: VmReport["demandPerS"],
 ): boolean {
-  const services = new Set([...Object.keys(told), ...Object.keys(now)]);
+  const services = new Set([...Object.keys(reported), ...Object.keys(current)]);
   return [...services].some((service) => {
-    const before = told[service] ?? 0;
-    const change = Math.abs((now[service] ?? 0) - before);
+    const before = reported[service] ?? 0;
+    const change = Math.abs((current[service] ?? 0) - before);
     return change >
       Math.max(MIN_DEMAND_CHANGE_PER_S, before * MIN_DEMAND_CHANGE_SHARE);
   });
--- a/src/members/report_delta_test.ts
+++ b/src/members/report_delta_test.ts
@@ -13,11 +13,11 @@
   };
 }
 
-test("a receiver that knows nothing is told all", () => {
+test("a first report is sent whole", () => {
   assert.equal(diffReport(undefined, makeReport()), makeReport());
 });
 
-test("what hardly changed is left out", () => {
+test("small changes are left out", () => {
   const now = makeReport({ demandPerS: { s: 21 } });
   assert.equal(diffReport(makeReport(), now), {});
 });
@@ -44,15 +44,15 @@
 ];
 
 for (const change of CHANGES) {
-  test(`${JSON.stringify(change)} is told and merged`, () => {
+  test(`${JSON.stringify(change)} is sent and merged`, () => {
     const now = makeReport(change);
-    const parts = diffReport(makeReport(), now);
-    assert.equal(parts, change);
-    assert.equal(mergeReport(makeReport(), parts), now);
+    const delta = diffReport(makeReport(), now);
+    assert.equal(delta, change);
+    assert.equal(mergeReport(makeReport(), delta), now);
   });
 }
 
-test("parts of a report whose rest never came give none", () => {
+test("an incomplete report is not returned", () => {
   assert.is(mergeReport(undefined, { state: "serving" }), undefined);
 });
 
--- a/src/members/table.ts
+++ b/src/members/table.ts
@@ -1,6 +1,6 @@
 /**
- * Which VMs run, as this one sees them: those that it is linked to, and those
- * that hubs tell of.
+ * The membership table: the VMs that this VM knows, from its own links and from
+ * the views of hubs.
  *
  * @module
  */
@@ -14,69 +14,107 @@
   VmState,
 } from "./types.ts";
 
-/** A VM and what is known of it. */
+/** A VM in the membership table. */
 export interface Member {
   identity: VmIdentity;
   state: VmState | undefined;
-  /** What it told itself; undefined where only a hub told of it. */
+  /** The VM's own report; undefined if the VM is known only from a hub. */
   report: VmReport | undefined;
-  /** When it was heard itself; undefined where it never was or fell silent. */
+  /**
+   * When the VM's last message arrived, or the last view of the hub that reports
+   * it (monotonic); undefined if there was none or its link closed.
+   */
   heardAtMs: number | undefined;
 }
 
-/** The VMs that this one knows. */
+/** The VMs that this VM knows, apart from itself. */
 export interface MemberTable {
-  /** Notes a VM that another one or the register told of. */
+  /**
+   * Adds a VM that another VM or the registry listed.
+   *
+   * @param identity The VM.
+   * @returns Whether the VM is new, or its peer address changed while it was not
+   *   heard.
+   */
   recordDiscovered(identity: VmIdentity): boolean;
-  /** Notes a VM that speaks to this one. */
+  /**
+   * Records a VM that identified itself on a link.
+   *
+   * @param identity The VM.
+   */
   recordHello(identity: VmIdentity): void;
-  recordReport(id: string, parts: ReportDelta): void;
-  /** Notes that the link to a VM broke. */
+  /**
+   * Merges a report from a linked VM.
+   *
+   * @param id The VM's id.
+   * @param delta The fields received.
+   */
+  recordReport(id: string, delta: ReportDelta): void;
+  /**
+   * Records that the last link to a VM closed.
+   *
+   * @param id The VM's id.
+   */
   recordDisconnect(id: string): void;
   /**
-   * Takes in what a hub tells of VMs.
+   * Applies a view from a hub.
    *
-   * @param hubId The hub.
-   * @param view What changed since the view before.
-   * @returns Whether the view before is known here; if not, all has to be told.
+   * @param hubId The hub's id.
+   * @param view The changes since the view's base revision, or a snapshot.
+   * @returns Whether the view was applied; if not, the base revision is missing
+   *   here and the hub has to send a snapshot.
    */
   applyView(hubId: string, view: FleetView): boolean;
-  /** Forgets what a hub told. */
+  /**
+   * Drops a hub's view.
+   *
+   * @param hubId The hub's id.
+   */
   dropView(hubId: string): void;
+  /**
+   * @param id A VM's id.
+   * @returns The VM; undefined if it is unknown.
+   */
   get(id: string): Member | undefined;
-  /** @returns All VMs heard of, this one not included. */
+  /** @returns All known VMs, whether they are up or not. */
   listKnown(): Member[];
-  /** @returns How many those are. */
+  /** @returns The number of known VMs. */
   countKnown(): number;
-  /** @returns VMs that speak to this one now. */
+  /** @returns VMs with a link to this VM that were heard recently. */
   listLinked(): Member[];
-  /** @returns VMs that are up, this one not included. */
+  /** @returns VMs that are up. */
   listAlive(): Member[];
   /**
-   * @returns VMs that are up, and those heard of so lately that nobody can say;
-   *   all of a region of which none is up.
+   * @returns VMs that may act as hubs: those that are up, those discovered so
+   *   recently that hubs may not have reported them yet, and all VMs of a
+   *   region in which none is known to be up.
    */
   listHubCandidates(): VmIdentity[];
-  /** @returns Those of them that serve clients. */
+  /** @returns VMs that are up and serve clients. */
   listServing(): VmIdentity[];
   /**
-   * @returns VMs that are linked here or to another hub. What hubs tell their
-   *   region is left out: told on, they would vouch for each other's word.
+   * @returns VMs linked to this VM or to another hub. Views of scope `fleet` are
+   *   left out: if hubs passed them on, each would keep alive what the other
+   *   reported.
    */
   listLinkedToAnyHub(): Member[];
-  /** @returns Demand that hubs told of lately in views of a scope. */
+  /**
+   * @param scope The scope of the views.
+   * @returns The client demand in each recent view of that scope, in requests a
+   *   second.
+   */
   listDemands(scope: ViewScope): FleetView["demandPerS"][];
-  /** Forgets VMs that nobody heard for long. */
+  /** Removes VMs that are down and not heard for a long time. */
   prune(): void;
 }
 
-/** A VM that was silent for this long counts as down: two reports and a half. */
+/** A VM or hub silent for this long counts as down: two and a half reports. */
 export const PEER_TIMEOUT_MS = 2_000;
-/** VMs that can't be reached for this long are not dialed any more. */
+/** Unreachable VMs are removed, and no longer dialed, after this time. */
 const MEMBER_RETENTION_MS = 600_000;
-/** A VM that is up is linked to a hub, and told of, this soon. */
+/** Within this time a running VM is linked to a hub and reported by it. */
 const UNCONFIRMED_TTL_MS = 4_000;
-/** Time for which a list of VMs is kept where nothing was heard to change. */
+/** How long the cached list of running VMs is used if no change is recorded. */
 const LIST_TTL_MS = 100;
 
 interface MemberRecord {
@@ -95,9 +133,11 @@
 }
 
 /**
- * @param ownId This VM.
+ * Creates a membership table.
+ *
+ * @param ownId The id of this VM.
  * @param clock The clock.
- * @returns A table without VMs.
+ * @returns An empty table.
  */
 export function createMemberTable(ownId: string, clock: Clock): MemberTable {
   const members = new Map<string, MemberRecord>();
@@ -134,11 +174,14 @@
     );
   }
 
-  /** What a VM tells itself goes before what hubs tell of it. */
+  /**
+   * Merges linked VMs and hub views. A linked VM's own report takes precedence;
+   * among views the latest incarnation wins.
+   */
   function collect(scopes: readonly ViewScope[]): Member[] {
     const found = new Map<string, Member>();
-    for (const { heardAtMs, members: told } of listViews(scopes)) {
-      for (const [id, { identity, state }] of told) {
+    for (const { heardAtMs, members: reported } of listViews(scopes)) {
+      for (const [id, { identity, state }] of reported) {
         const other = found.get(id)?.identity.incarnation ?? "";
         if (id === ownId || identity.incarnation < other) continue;
         const member = { identity, state, report: undefined, heardAtMs };
@@ -183,11 +226,11 @@
     recordHello(identity) {
       if (identity.id !== ownId) put(identity, clock.monotonicMs());
     },
-    recordReport(id, parts) {
+    recordReport(id, delta) {
       const member = members.get(id);
       if (member === undefined) return;
       const before = member.report?.state;
-      member.report = mergeReport(member.report, parts);
+      member.report = mergeReport(member.report, delta);
       member.heardAtMs = clock.monotonicMs();
       if (member.report?.state !== before) alive = undefined;
     },
--- a/src/members/table_test.ts
+++ b/src/members/table_test.ts
@@ -10,7 +10,7 @@
   return makeVmIdentity(id, { incarnation });
 }
 
-function tell(id: string, state: VmState = "serving", incarnation = "1") {
+function makeEntry(id: string, state: VmState = "serving", incarnation = "1") {
   return { identity: makeVm(id, incarnation), state };
 }
 
@@ -21,55 +21,57 @@
   return { clock, table, listServing };
 }
 
-test("changes of a hub's view follow on from each other", () => {
+test("changes of a hub's view apply in sequence", () => {
   const { table, listServing } = startTable();
-  const teller = createViewSender("fleet");
-  table.applyView("hub", teller.makeSnapshot());
-  table.applyView("hub", teller.update([tell("1"), tell("2")], {}));
+  const sender = createViewSender("fleet");
+  table.applyView("hub", sender.makeSnapshot());
+  table.applyView("hub", sender.update([makeEntry("1"), makeEntry("2")], {}));
   assert.equal(listServing(), ["1", "2"]);
-  const next = [tell("1", "leaving"), tell("3"), tell("self")];
-  table.applyView("hub", teller.update(next, {}));
+  const next = [makeEntry("1", "leaving"), makeEntry("3"), makeEntry("self")];
+  table.applyView("hub", sender.update(next, {}));
   assert.equal(listServing(), ["3"]);
 });
 
-test("a view that doesn't follow on is not taken; all of it is", () => {
+test("a view with an unknown base is rejected; a snapshot is accepted", () => {
   const { table, listServing } = startTable();
-  const teller = createViewSender("fleet");
-  teller.update([tell("1")], {});
-  assert.not(table.applyView("hub", teller.update([tell("1"), tell("2")], {})));
+  const sender = createViewSender("fleet");
+  sender.update([makeEntry("1")], {});
+  assert.not(
+    table.applyView("hub", sender.update([makeEntry("1"), makeEntry("2")], {})),
+  );
   assert.equal(listServing(), []);
-  assert.ok(table.applyView("hub", teller.makeSnapshot()));
+  assert.ok(table.applyView("hub", sender.makeSnapshot()));
   assert.equal(listServing(), ["1", "2"]);
 });
 
-test("views of both scopes of one hub are never taken for each other", () => {
+test("a view never applies to one of the other scope", () => {
   const { table } = startTable();
   const fleet = createViewSender("fleet");
   const linked = createViewSender("linked");
   table.applyView("hub", fleet.makeSnapshot());
-  assert.not(table.applyView("hub", linked.update([tell("1")], {})));
+  assert.not(table.applyView("hub", linked.update([makeEntry("1")], {})));
 });
 
-test("what a hub told holds while it is heard", () => {
+test("a hub's view is valid while the hub is heard", () => {
   const { clock, table, listServing } = startTable();
-  const teller = createViewSender("linked");
-  table.applyView("hub", teller.makeSnapshot());
-  table.applyView("hub", teller.update([tell("1")], {}));
+  const sender = createViewSender("linked");
+  table.applyView("hub", sender.makeSnapshot());
+  table.applyView("hub", sender.update([makeEntry("1")], {}));
   for (let count = 0; count < 5; count++) {
     clock.advance(800);
-    table.applyView("hub", teller.update([tell("1")], {}));
+    table.applyView("hub", sender.update([makeEntry("1")], {}));
     assert.equal(listServing(), ["1"]);
   }
   clock.advance(2_000);
   assert.equal(listServing(), []);
 });
 
-test("a VM that one of two hubs lost is up while the other is linked to it", () => {
+test("a VM lost by one of two hubs stays up while the other is linked to it", () => {
   const { table, listServing } = startTable();
   for (const hub of ["hub-1", "hub-2"]) {
-    const teller = createViewSender("linked");
-    teller.update([tell("1")], {});
-    table.applyView(hub, teller.makeSnapshot());
+    const sender = createViewSender("linked");
+    sender.update([makeEntry("1")], {});
+    table.applyView(hub, sender.makeSnapshot());
   }
   table.dropView("hub-1");
   assert.equal(listServing(), ["1"]);
@@ -77,39 +79,39 @@
   assert.equal(listServing(), []);
 });
 
-test("hubs don't vouch for what they were only told", () => {
+test("hubs don't pass on VMs known only from fleet views", () => {
   const { table } = startTable();
-  const teller = createViewSender("fleet");
-  teller.update([tell("1")], {});
-  table.applyView("hub", teller.makeSnapshot());
+  const sender = createViewSender("fleet");
+  sender.update([makeEntry("1")], {});
+  table.applyView("hub", sender.makeSnapshot());
   assert.is(table.listAlive().length, 1);
   assert.is(table.listLinkedToAnyHub().length, 0);
 });
 
-test("VMs heard of lately may be up, later only those that are", () => {
+test("recently discovered VMs are hub candidates, later only running ones", () => {
   const { clock, table } = startTable();
   const far = { ...makeVm("far"), region: "bergen" };
   for (const vm of [makeVm("1"), makeVm("2"), far]) table.recordDiscovered(vm);
-  const listPossible = () =>
+  const listCandidates = () =>
     table.listHubCandidates().map(({ id }) => id).sort();
   table.recordHello(makeVm("1"));
   table.recordHello(makeVm("2"));
   table.recordDisconnect("2");
-  assert.equal(listPossible(), ["1", "2", "far"]);
+  assert.equal(listCandidates(), ["1", "2", "far"]);
   clock.advance(4_001);
   table.recordHello(makeVm("1"));
-  assert.equal(listPossible(), ["1", "far"]);
+  assert.equal(listCandidates(), ["1", "far"]);
   table.recordHello(far);
   table.recordDisconnect("1");
-  assert.equal(listPossible(), ["1", "2", "far"]);
+  assert.equal(listCandidates(), ["1", "2", "far"]);
 });
 
-test("of two starts of a VM the later one holds", () => {
+test("the later of two incarnations of a VM wins", () => {
   const { table } = startTable();
   for (const [hub, incarnation] of [["hub-1", "2"], ["hub-2", "1"]]) {
-    const teller = createViewSender("linked");
-    teller.update([tell("1", "serving", incarnation)], {});
-    table.applyView(hub, teller.makeSnapshot());
+    const sender = createViewSender("linked");
+    sender.update([makeEntry("1", "serving", incarnation)], {});
+    table.applyView(hub, sender.makeSnapshot());
   }
   assert.is(table.listServing()[0].incarnation, "2");
 });
--- a/src/members/types.ts
+++ b/src/members/types.ts
@@ -1,70 +1,74 @@
 /**
- * The VMs of the system and what they tell each other of themselves.
+ * VM identities, reports, views and the registry.
  *
  * @module
  */
 
 import type { Topic, TopicDigest } from "../news/types.ts";
 
-/** How a VM is reached and where it stands; fixed for one start. */
+/** A VM's addresses and location, fixed for one run of its process. */
 export interface VmIdentity {
-  /** Its name, the same after a restart. */
+  /** The VM's name, which stays the same across restarts. */
   id: string;
-  /** Tells one start of the process from the next. */
+  /** Identifies one run of the process; later runs compare greater. */
   incarnation: string;
   region: string;
   failureDomain: string;
-  /** Where clients connect. */
+  /** The address that clients connect to. */
   frontAddress: string;
-  /** Where other VMs connect. */
+  /** The address that other VMs connect to. */
   peerAddress: string;
-  /** Processor time that it may use, in cores. */
+  /** Processor time available to the VM, in cores. */
   cores: number;
 }
 
-/** Whether a VM serves clients. */
+/** The lifecycle state of a VM; only `serving` VMs take client requests. */
 export type VmState = "starting" | "serving" | "leaving";
 
-/** What a VM tells of itself again and again. */
+/** A VM's periodic report about itself. */
 export interface VmReport {
   state: VmState;
-  /** Requests a second that its clients make, by service. */
+  /** Demand of its clients by service, in requests a second. */
   demandPerS: Record<string, number>;
-  /** What it knows of each topic. */
+  /** Digests of the facts that it holds, by topic. */
   digests: Record<Topic, TopicDigest>;
 }
 
-/** Requests a second by region of the clients and service. */
+/** Demand by the clients' region and by service, in requests a second. */
 export type DemandByRegion = Record<string, Record<string, number>>;
 
 /**
- * Which VMs a hub tells of.
+ * The VMs that a hub's view covers.
  *
- * - `linked`: those that it is linked to, itself included; for other hubs.
- * - `fleet`: all that hubs are linked to; for the VMs of its region.
+ * - `linked`: the hub and the VMs linked to it; sent to other hubs.
+ * - `fleet`: all VMs linked to any hub; sent to the VMs of the hub's region.
  */
 export type ViewScope = "linked" | "fleet";
 
-/** What a hub tells of VMs since its last view. */
+/** A hub's view of the running VMs: a snapshot, or changes to an earlier view. */
 export interface FleetView {
   scope: ViewScope;
-  /** The view that this one follows; 0 where it tells all. */
+  /** The revision that the changes apply to; 0 for a snapshot. */
   base: number;
   revision: number;
+  /** VMs that are up and new, or changed since the base revision. */
   up: { identity: VmIdentity; state: VmState }[];
-  /** VMs that are down. */
+  /** Ids of VMs that are no longer up. */
   gone: string[];
+  /** Client demand, always complete, in requests a second. */
   demandPerS: DemandByRegion;
 }
 
-/** Where VMs register so that others find them. Calls throw StepError. */
+/** Registry through which VMs discover each other. Calls throw StepError. */
 export abstract class VmRegistry {
   /**
-   * @param identity The VM to register; replaces its earlier entry.
-   * @returns The epoch of the register that holds it; undefined where the
-   *   register names none.
+   * Registers a VM, replacing its earlier entry.
+   *
+   * @param identity The VM.
+   * @returns The epoch of the registry that holds the entry; undefined if the
+   *   registry has no epochs.
    */
   abstract register(identity: VmIdentity): Promise<number | undefined>;
-  /** @returns All VMs that ever registered, those that are gone included. */
+  /** @returns All VMs ever registered, including those that are down. */
   abstract list(): Promise<VmIdentity[]>;
 }
--- a/src/members/view_sender.ts
+++ b/src/members/view_sender.ts
@@ -1,41 +1,45 @@
 /**
- * What a hub tells of the VMs that it knows: all of them to a new link, then
- * changes.
+ * Builds a hub's views of the VMs that it knows: a snapshot for a new link, then
+ * incremental changes.
  *
  * @module
  */
 import type { FleetView, ViewScope, VmIdentity, VmState } from "./types.ts";
 
-/** A VM as a hub tells of it. */
+/** A VM in a hub's view. */
 export interface ReportedVm {
   identity: VmIdentity;
   state: VmState;
 }
 
-/** Tells of VMs. */
+/** Builds the views of one scope. */
 export interface ViewSender {
   /**
+   * Replaces the view.
+   *
    * @param vms The VMs that are up.
-   * @param demandPerS Demand of their clients.
-   * @returns What changed since the last call.
+   * @param demandPerS Demand of their clients, in requests a second.
+   * @returns The changes since the last call.
    */
   update(
     vms: readonly ReportedVm[],
     demandPerS: FleetView["demandPerS"],
   ): FleetView;
-  /** @returns All that was told so far, for a new link. */
+  /** @returns The view as of the last update, for a new link. */
   makeSnapshot(): FleetView;
 }
 
-/** Views of both scopes on one link are told apart by their revisions. */
+/** Disjoint ranges keep views of the two scopes apart on one link. */
 const INITIAL_REVISION: Record<ViewScope, number> = {
   linked: 1,
   fleet: 1_000_000_000,
 };
 
 /**
- * @param scope Which VMs it tells of.
- * @returns A teller that told of nobody.
+ * Creates a view sender.
+ *
+ * @param scope The VMs that its views cover.
+ * @returns A sender with an empty view.
  */
 export function createViewSender(scope: ViewScope): ViewSender {
   let reported = new Map<string, ReportedVm>();
--- a/src/members/views.ts
+++ b/src/members/views.ts
@@ -1,5 +1,6 @@
 /**
- * What this VM makes of the table of VMs: who serves, who reads the platform.
+ * Roles of VMs derived from the membership table: which ones serve clients, and
+ * which ones read the platform.
  *
  * @module
  */
@@ -7,34 +8,36 @@
 import type { MemberTable } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 
-/** Lists of VMs; this one always counts as running. */
+/** Roles of VMs. This VM always counts as serving. */
 export interface VmViews {
-  /** @returns How many VMs serve clients. */
+  /** @returns The number of VMs that serve clients. */
   countServing(): number;
   /**
    * @param region A region.
-   * @returns Ids of the VMs that serve clients there.
+   * @returns The ids of the VMs that serve clients in it.
    */
   listServingIds(region: string): string[];
   /**
-   * @param topology Who links to whom.
-   * @returns Whether this VM reads the platform for its region; where there
-   *   are hubs, for all regions. The other hubs read as soon as it is late.
+   * @param topology The link topology.
+   * @returns Whether this VM reads the platform: in a full mesh for its region,
+   *   with hubs for all regions. The other hubs take over when it is late.
    */
   isReader(topology: Topology): boolean;
 }
 
 /**
- * VMs of a region that read the platform for all others. Readers of the other
- * regions cover the time until the loss of one is noticed; a second reader in
- * each region doubled the calls and the news that every VM takes in.
+ * Readers of the platform in each region of a full mesh. Readers of the other
+ * regions cover the time until the loss of one is detected. A second reader in
+ * each region doubled the calls and the updates that every VM has to process.
  */
 const READERS_PER_REGION = 1;
 
 /**
+ * Creates the roles.
+ *
  * @param self This VM.
- * @param table The VMs that it knows.
- * @returns Views that follow the table.
+ * @param table The membership table.
+ * @returns Roles that follow the table.
  */
 export function createVmViews(self: VmIdentity, table: MemberTable): VmViews {
   function listServing(): VmIdentity[] {
--- a/src/members/views_test.ts
+++ b/src/members/views_test.ts
@@ -12,7 +12,7 @@
   return makeVmIdentity(`${region}-${index}`, { region, failureDomain });
 }
 
-/** The VMs that read the platform, as each sees all others. */
+/** Lists the VMs that read the platform, each in its own local view. */
 function listReaders(perRegion: number): VmIdentity[] {
   const fleet = ["oslo", "bergen"].flatMap((region) =>
     Array.from({ length: perRegion }, (_, index) => makeVm(region, index))
@@ -32,7 +32,7 @@
   assert.equal(readers.map(({ region }) => region), ["oslo", "bergen"]);
 });
 
-test("behind hubs one of them reads the platform for all", () => {
+test("in a large fleet one hub reads the platform for all", () => {
   assert.is(listReaders(60).length, 1);
 });
 
