--- a/src/members/hubs.ts
+++ b/src/members/hubs.ts
@@ -68,7 +68,7 @@
 }
 
 /**
- * Tells whether a VM is a hub.
+ * Checks whether a VM is a hub.
  *
  * @param topology The link topology.
  * @param vm The VM.
@@ -95,7 +95,7 @@
 }
 
 /**
- * Tells whether a VM receives everything through a hub.
+ * Checks whether a VM receives everything through a hub.
  *
  * @param topology The link topology.
  * @param vm The VM.
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -81,7 +81,7 @@
    */
   broadcastServerRateLimits(rates: RateLimitNews[]): void;
   /**
-   * Tells all linked VMs that this VM just read a topic from its source.
+   * Announces to all linked VMs that this VM just read a topic from its source.
    *
    * @param topic The topic.
    */
