--- a/src/activity/relay.ts
+++ b/src/activity/relay.ts
@@ -1,10 +1,10 @@
 /**
- * Sums up what the VMs of one region do at backend servers, for those VMs and
- * for other regions.
+ * Aggregates the activity of one region's VMs at backend servers, for those VMs
+ * and for other regions.
  *
- * All to all, 65 VMs of a region would exchange 4,160 messages each time; by
- * way of one of them it is 130. What a VM has to know are servers of its own
- * region, and those elsewhere that VMs of its region send to.
+ * Sent directly, 65 VMs of a region would exchange 4,160 messages each time;
+ * through a relay it is 130. Relevant to a VM are the servers of its own region,
+ * and those of other regions that VMs of its region send to.
  *
  * @module
  */
@@ -13,36 +13,48 @@
 import { addRequests, type RunningRequests } from "./running.ts";
 import type { Activity } from "./types.ts";
 
-/** Sums up activity. */
+/** Aggregates activity. */
 export interface Relay {
-  /** Takes in what a VM of the own region did, this one included. */
+  /**
+   * Adds activity of a VM of the own region, which may be this one.
+   *
+   * @param activity The activity.
+   */
   addOwn(activity: Activity): void;
-  /** Takes in what another region did. */
+  /**
+   * Adds activity of another region.
+   *
+   * @param region The region.
+   * @param activity The activity.
+   */
   addOther(region: string, activity: Activity): void;
-  /** @returns What VMs of the own region have to know, since the last call. */
-  takeForMembers(): Activity;
+  /** @returns What is relevant to VMs of the own region since the last call. */
+  takeForOwnRegion(): Activity;
   /**
    * @param region Another region.
-   * @returns What that region has to know, since the last call; undefined where
-   *   neither sends to the other's servers.
+   * @returns What is relevant to that region since the last call; undefined if
+   *   neither region sends to the other's servers.
    */
   takeForRegion(region: string): Activity | undefined;
 }
 
-/** What a relay needs. */
-export interface RelayParts {
+/** Dependencies of a relay. */
+export interface RelayOptions {
   clock: Clock;
   ownRegion: string;
-  /** Requests of the VMs of the own region, by VM. */
+  /** Running requests of the VMs of the own region, by VM. */
   ownRunning: RunningRequests;
-  /** Requests of other regions, by region. */
+  /** Running requests of other regions, by region. */
   otherRunning: RunningRequests;
-  /** Region of a server, by its hash. */
+  /**
+   * @param serverKey A server's hash.
+   * @returns The server's region; undefined if the server is unknown.
+   */
   getRegion: (serverKey: number) => string | undefined;
 }
 
-/** Regions that sent nothing to each other for this long stop telling. */
-const RELATED_MS = 10_000;
+/** Regions that sent each other no requests for this long exchange no activity. */
+const RELATION_TTL_MS = 10_000;
 
 interface Outbox {
   asked: ObjectPairs;
@@ -50,38 +62,44 @@
 }
 
 /**
- * @param parts What the relay needs.
- * @returns A relay that was told nothing.
+ * Creates a relay.
+ *
+ * @param options Its dependencies.
+ * @returns A relay without activity.
  */
-export function createRelay(parts: RelayParts): Relay {
-  const { clock, ownRegion, ownRunning, otherRunning, getRegion } = parts;
-  let forMembers = makeOutbox();
-  const forRegions = new Map<string, Outbox>();
-  /** When VMs here last sent to a region, and that region's VMs to this one. */
-  const usedAtMs = new Map<string, number>();
-  const userAtMs = new Map<string, number>();
+export function createRelay(options: RelayOptions): Relay {
+  const { clock, ownRegion, ownRunning, otherRunning, getRegion } = options;
+  let ownRegionOutbox = makeOutbox();
+  const outboxByRegion = new Map<string, Outbox>();
+  /**
+   * When VMs here last sent to a region, and that region's VMs to this one
+   * (monotonic).
+   */
+  const outboundAtMs = new Map<string, number>();
+  const inboundAtMs = new Map<string, number>();
 
   function isRecent(times: Map<string, number>, region: string): boolean {
-    return clock.monotonicMs() - (times.get(region) ?? -Infinity) < RELATED_MS;
+    return clock.monotonicMs() - (times.get(region) ?? -Infinity) <
+      RELATION_TTL_MS;
   }
 
-  function isWantedHere(serverKey: number): boolean {
+  function isRelevantHere(serverKey: number): boolean {
     const region = getRegion(serverKey);
     return region === ownRegion ||
-      region !== undefined && isRecent(usedAtMs, region);
+      region !== undefined && isRecent(outboundAtMs, region);
   }
 
-  function isWantedBy(region: string, serverKey: number): boolean {
+  function isRelevantTo(region: string, serverKey: number): boolean {
     const serverRegion = getRegion(serverKey);
     return serverRegion === region ||
-      serverRegion === ownRegion && isRecent(userAtMs, region);
+      serverRegion === ownRegion && isRecent(inboundAtMs, region);
   }
 
   function getOutbox(region: string): Outbox {
-    const known = forRegions.get(region);
+    const known = outboxByRegion.get(region);
     if (known !== undefined) return known;
     const outbox = makeOutbox();
-    forRegions.set(region, outbox);
+    outboxByRegion.set(region, outbox);
     return outbox;
   }
 
@@ -90,12 +108,12 @@
     forEachPair(activity.asked, (serverKey) => {
       const region = getRegion(serverKey);
       if (region === undefined || region === ownRegion) return;
-      usedAtMs.set(region, nowMs);
+      outboundAtMs.set(region, nowMs);
       getOutbox(region);
     });
-    copy(activity, forMembers, () => true);
-    for (const [region, outbox] of forRegions) {
-      copy(activity, outbox, (key) => isWantedBy(region, key));
+    copy(activity, ownRegionOutbox, () => true);
+    for (const [region, outbox] of outboxByRegion) {
+      copy(activity, outbox, (key) => isRelevantTo(region, key));
     }
   }
 
@@ -103,37 +121,37 @@
     const nowMs = clock.monotonicMs();
     forEachPair(activity.asked, (serverKey) => {
       if (getRegion(serverKey) !== ownRegion) return;
-      userAtMs.set(region, nowMs);
+      inboundAtMs.set(region, nowMs);
       getOutbox(region);
     });
     otherRunning.apply(region, activity.running, false);
-    copy(activity, forMembers, isWantedHere);
+    copy(activity, ownRegionOutbox, isRelevantHere);
   }
 
-  function takeForMembers(): Activity {
+  function takeForOwnRegion(): Activity {
     const running = ownRunning.sum();
     addRequests(running, otherRunning.sum());
-    const taken = forMembers;
-    forMembers = makeOutbox();
-    return { ...taken, running: toPairs(running, isWantedHere) };
+    const outbox = ownRegionOutbox;
+    ownRegionOutbox = makeOutbox();
+    return { ...outbox, running: toPairs(running, isRelevantHere) };
   }
 
   function takeForRegion(region: string): Activity | undefined {
-    const outbox = forRegions.get(region);
+    const outbox = outboxByRegion.get(region);
     if (outbox === undefined) return undefined;
-    if (!isRecent(usedAtMs, region) && !isRecent(userAtMs, region)) {
-      forRegions.delete(region);
+    if (!isRecent(outboundAtMs, region) && !isRecent(inboundAtMs, region)) {
+      outboxByRegion.delete(region);
       return undefined;
     }
-    forRegions.set(region, makeOutbox());
+    outboxByRegion.set(region, makeOutbox());
     const running = toPairs(
       ownRunning.sum(),
-      (key) => isWantedBy(region, key),
+      (key) => isRelevantTo(region, key),
     );
     return { ...outbox, running };
   }
 
-  return { addOwn, addOther, takeForMembers, takeForRegion };
+  return { addOwn, addOther, takeForOwnRegion, takeForRegion };
 }
 
 function makeOutbox(): Outbox {
@@ -143,29 +161,29 @@
 function copy(
   from: Outbox,
   to: Outbox,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): void {
-  copyPairs(from.asked, to.asked, isWanted);
-  copyPairs(from.forgotten, to.forgotten, isWanted);
+  copyPairs(from.asked, to.asked, isRelevant);
+  copyPairs(from.forgotten, to.forgotten, isRelevant);
 }
 
 function copyPairs(
   from: ObjectPairs,
   to: ObjectPairs,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): void {
   forEachPair(from, (serverKey, objectKey) => {
-    if (isWanted(serverKey)) to.push(serverKey, objectKey);
+    if (isRelevant(serverKey)) to.push(serverKey, objectKey);
   });
 }
 
 function toPairs(
   running: ReadonlyMap<number, number>,
-  isWanted: (serverKey: number) => boolean,
+  isRelevant: (serverKey: number) => boolean,
 ): number[] {
   const pairs: number[] = [];
   for (const [key, count] of running) {
-    if (count > 0 && isWanted(key)) pairs.push(key, count);
+    if (count > 0 && isRelevant(key)) pairs.push(key, count);
   }
   return pairs;
 }
--- a/src/members/hub_views.ts
+++ b/src/members/hub_views.ts
@@ -1,73 +1,81 @@
 /**
- * What this VM tells of other VMs while it is a hub.
+ * Sends views of the fleet to other VMs while this VM acts as a hub.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 import { sumDemands } from "./demand.ts";
-import { findRelay, isHub, type Topology } from "./hubs.ts";
+import { findRelayId, isHub, type Topology } from "./hubs.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 import type { Member, MemberTable } from "./table.ts";
 import type { DemandByRegion, VmIdentity, VmReport } from "./types.ts";
-import { createViewTeller, type ToldVm } from "./view_teller.ts";
+import { createViewSender, type ReportedVm } from "./view_sender.ts";
 
-/** What telling needs. */
-export interface HubViewsParts {
+/** Dependencies of the hub views. */
+export interface HubViewsOptions {
   self: VmIdentity;
   table: MemberTable;
   clock: Clock;
   links: LinkSet;
   makeReport: () => VmReport;
   getTopology: () => Topology;
-  /** Whether this VM is a hub now. */
+  /** @returns Whether this VM currently acts as a hub. */
   actsAsHub: () => boolean;
 }
 
-/** Tells of VMs. */
+/** Sends views of the fleet. */
 export interface HubViews {
-  /** Tells what changed, or that nothing did. */
-  tell(): void;
-  /** Tells what changed, together with what changes meanwhile. */
-  tellSoon(): void;
-  /** Tells one VM all. */
-  sendAll(link: VmLink, identity: VmIdentity): void;
+  /** Sends the changes since the last views, also if there are none. */
+  sendChanges(): void;
+  /** Sends the changes after a short delay, so that several go in one batch. */
+  scheduleChanges(): void;
   /**
-   * @returns Demand of the clients of all VMs; undefined where VMs tell each
-   *   other themselves, or no hub told yet.
+   * Sends the whole view to one VM.
+   *
+   * @param link The link to send it on.
+   * @param identity The VM at the other end, which determines the scope.
+   */
+  sendSnapshot(link: VmLink, identity: VmIdentity): void;
+  /**
+   * @returns Demand of the clients of all VMs, in requests a second; undefined in
+   *   a full mesh, where VMs report to each other directly, or before the first
+   *   view of a hub.
    */
   getDemand(): DemandByRegion | undefined;
 }
 
-/** Pause in which changes of VMs gather, so that they come in batches. */
-const PAUSE_MS = 100;
+/** Delay that collects changes of VMs into one batch. */
+const BATCH_DELAY_MS = 100;
 
 /**
- * @param parts What telling needs.
- * @returns Views of which nothing was told.
+ * Creates the hub views.
+ *
+ * @param options Their dependencies.
+ * @returns Hub views that have sent nothing yet.
  */
-export function createHubViews(parts: HubViewsParts): HubViews {
-  const { self, table, clock, links, makeReport, actsAsHub } = parts;
-  /** For VMs of this region: all VMs. For hubs: those that are linked here. */
-  const fleetTeller = createViewTeller("fleet");
-  const linkedTeller = createViewTeller("linked");
-  let isDue = false;
+export function createHubViews(options: HubViewsOptions): HubViews {
+  const { self, table, clock, links, makeReport, actsAsHub } = options;
+  /** VMs of this region get the fleet; other hubs get the VMs linked here. */
+  const fleetSender = createViewSender("fleet");
+  const linkedSender = createViewSender("linked");
+  let isScheduled = false;
 
   function isMember(identity: VmIdentity): boolean {
     return identity.region === self.region &&
-      !isHub(parts.getTopology(), identity);
+      !isHub(options.getTopology(), identity);
   }
 
-  function tell(): void {
-    isDue = false;
+  function sendChanges(): void {
+    isScheduled = false;
     if (!actsAsHub()) return;
     const own = { identity: self, state: makeReport().state };
     const demandPerS = sumLinkedDemand();
-    const linked = linkedTeller.update(
-      [own, ...listTold(table.listLinked())],
+    const linked = linkedSender.update(
+      [own, ...listReported(table.listLinked())],
       demandPerS,
     );
-    const all = fleetTeller.update(
-      [own, ...listTold(table.listVouched())],
+    const all = fleetSender.update(
+      [own, ...listReported(table.listLinkedToAnyHub())],
       sumDemands([demandPerS, ...table.listDemands("linked")]),
     );
     links.sendWhere({ kind: "view", ...all }, isMember);
@@ -77,9 +85,9 @@
     );
   }
 
-  /** The first hub of a region sums up, so that no demand counts twice. */
+  /** Only the first hub of a region sums up, so that no demand counts twice. */
   function sumLinkedDemand(): DemandByRegion {
-    const relayId = findRelay(parts.getTopology(), self.region);
+    const relayId = findRelayId(options.getTopology(), self.region);
     if (relayId !== self.id) return {};
     const reports = table.listLinked()
       .filter(({ identity }) => identity.region === self.region)
@@ -92,18 +100,18 @@
   }
 
   return {
-    tell,
-    tellSoon() {
-      if (isDue || !actsAsHub()) return;
-      isDue = true;
-      clock.after(PAUSE_MS, tell);
+    sendChanges,
+    scheduleChanges() {
+      if (isScheduled || !actsAsHub()) return;
+      isScheduled = true;
+      clock.after(BATCH_DELAY_MS, sendChanges);
     },
-    sendAll(link, identity) {
-      const teller = isMember(identity) ? fleetTeller : linkedTeller;
-      link.send({ kind: "view", ...teller.tellAll() });
+    sendSnapshot(link, identity) {
+      const sender = isMember(identity) ? fleetSender : linkedSender;
+      link.send({ kind: "view", ...sender.makeSnapshot() });
     },
     getDemand() {
-      const topology = parts.getTopology();
+      const topology = options.getTopology();
       if (topology.isFullMesh) return undefined;
       if (!isHub(topology, self)) return table.listDemands("fleet")[0];
       return sumDemands([sumLinkedDemand(), ...table.listDemands("linked")]);
@@ -111,7 +119,7 @@
   };
 }
 
-function listTold(members: readonly Member[]): ToldVm[] {
+function listReported(members: readonly Member[]): ReportedVm[] {
   return members.flatMap(({ identity, state }) =>
     state === undefined ? [] : [{ identity, state }]
   );
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -1,5 +1,5 @@
 /**
- * Links between VMs: who is up, and facts passed on.
+ * The mesh of links between VMs, which carries membership and facts.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
-import { createDialing } from "./dialing.ts";
+import { createDialer } from "./dialer.ts";
 import { startDiscovery } from "./discovery.ts";
 import { createHubViews } from "./hub_views.ts";
 import { isHub, type Topology } from "./hubs.ts";
@@ -24,145 +24,170 @@
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
 import {
   createPayloadReceiver,
-  makeNewsMessage,
+  makeFactMessage,
   makeTopicMessage,
   type PayloadListeners,
 } from "./payloads.ts";
-import { createProofTeller } from "./proofs.ts";
+import { createProofSender } from "./proofs.ts";
 import { createFactRepair } from "./repair.ts";
-import { mergeParts, pickChangedParts } from "./report_parts.ts";
+import { diffReport, mergeReport } from "./report_delta.ts";
 import type { MemberTable } from "./table.ts";
 import type {
   DemandByRegion,
   VmIdentity,
-  VmRegister,
+  VmRegistry,
   VmReport,
 } from "./types.ts";
 
-/** What a mesh needs. */
-export interface MeshParts extends PayloadListeners {
+/** Dependencies of a mesh. */
+export interface MeshOptions extends PayloadListeners {
   self: VmIdentity;
   table: MemberTable;
-  board: NewsBoard;
+  factStore: NewsBoard;
   knowledge: Knowledge;
-  /** Whether anything hangs on how old knowledge is. */
+  /** @returns Whether anything depends on the age of the knowledge. */
   needsProofs: () => boolean;
-  register: VmRegister;
+  registry: VmRegistry;
   clock: Clock;
   log: Log;
-  /** Server that accepts links of other VMs. */
+  /** Server that accepts links from other VMs. */
   server: Server;
-  /** Peer addresses to begin with; some may be down. */
+  /** Peer addresses to start with; some may be down. */
   seeds: readonly string[];
-  /** Whether all VMs start now, for the first time. */
-  startsWithAll: boolean;
-  /** What this VM tells of itself. */
+  /** Whether all VMs of the fleet start together for the first time. */
+  isFleetBootstrap: boolean;
+  /** @returns The current report of this VM. */
   makeReport: () => VmReport;
-  /** Told of each VM that says who it is. */
+  /**
+   * Called for each hello.
+   *
+   * @param identity The VM that sent it.
+   */
   onFound: (identity: VmIdentity) => void;
 }
 
-/** The links of this VM. */
+/** The mesh as seen by this VM. */
 export interface Mesh {
-  /** Passes facts on to every VM that is linked. */
-  passOn(items: NewsItem[]): void;
-  /** Tells every VM that is linked of rate limits of servers. */
-  tellServerRateLimits(rates: RateLimitNews[]): void;
-  /** Tells every VM that this one read a topic from its source. */
-  noteRead(topic: SourceTopic): void;
-  /** Tells every VM how this one is, now. */
-  reportNow(): void;
-  /** Sends a message to some VMs that are linked. */
+  /**
+   * Sends facts to all linked VMs.
+   *
+   * @param items The facts.
+   */
+  broadcastFacts(items: NewsItem[]): void;
+  /**
+   * Sends rate limits of backend servers to all linked VMs.
+   *
+   * @param rates The rate limits.
+   */
+  broadcastServerRateLimits(rates: RateLimitNews[]): void;
+  /**
+   * Announces to all linked VMs that this VM just read a topic from its source.
+   *
+   * @param topic The topic.
+   */
+  announceRead(topic: SourceTopic): void;
+  /** Sends a report of this VM now, ahead of the next interval. */
+  sendReport(): void;
+  /**
+   * Sends a message to those of some VMs that are linked.
+   *
+   * @param vmIds The ids of the VMs.
+   * @param message The message.
+   */
   sendTo(vmIds: readonly string[], message: VmMessage): void;
-  /** @returns Who links to whom. */
+  /** @returns The link topology. */
   getTopology(): Topology;
   /**
-   * @returns Demand of the clients of all VMs; undefined where VMs tell each
-   *   other themselves, or no hub told yet.
+   * @returns Demand of the clients of all VMs, in requests a second; undefined in
+   *   a full mesh, where VMs report to each other directly, or before the first
+   *   view of a hub.
    */
   getDemand(): DemandByRegion | undefined;
-  /** @returns Whether the register was asked for VMs. */
+  /** @returns Whether the first list of the registry has completed. */
   hasListed(): boolean;
+  /** Stops reports, discovery and dialing, and closes all links. */
   stop(): void;
 }
 
-const REPORT_MS = 800;
-/** Least pause between two messages that a topic is current. */
-const READ_NEWS_MS = 250;
-/** After that time a VM that is found is told of to all. */
-const STARTING_MS = 5_000;
-/** Seeds are dialed where the register has not answered by then. */
-const SEEDS_AFTER_MS = 500;
+const REPORT_INTERVAL_MS = 800;
+/** Minimum interval between two `read` messages of a topic. */
+const MIN_READ_MESSAGE_INTERVAL_MS = 250;
+/** After this time newly found VMs are announced to all linked VMs. */
+const STARTUP_MS = 5_000;
+/** Seeds are dialed if the registry has not answered within this time. */
+const SEED_DIAL_DELAY_MS = 500;
 /**
- * VMs that start together have all registered by then. One that lists too soon
- * takes others for its hubs than those that start after it.
+ * VMs that start together have all registered within this time. A VM that lists
+ * earlier would choose other hubs than those that start after it.
  */
-const FIRST_LIST_MS = 800;
+const BOOTSTRAP_LIST_DELAY_MS = 800;
 
 /**
- * @param parts What the mesh needs.
+ * Starts the mesh.
+ *
+ * @param options Its dependencies.
  * @returns The running mesh.
  */
-export function startMesh(parts: MeshParts): Mesh {
-  const { self, table, board, clock, log } = parts;
+export function startMesh(options: MeshOptions): Mesh {
+  const { self, table, factStore, clock, log } = options;
   const links = createLinkSet(clock);
   const startedAtMs = clock.monotonicMs();
-  const repair = createFactRepair(parts);
-  const toldReadAtMs = new Map<SourceTopic, number>();
-  const options = {
+  const repair = createFactRepair(options);
+  const readSentAtMs = new Map<SourceTopic, number>();
+  const linkOptions = {
     schema: vmMessageSchema,
     clock,
     isSelfContained: true,
     events: { onOpen, onMessage, onClose },
   };
-  const dialing = createDialing({
+  const dialer = createDialer({
     self,
     table,
     clock,
     log,
     links,
-    seeds: parts.seeds,
-    isSeedTime: () =>
+    seeds: options.seeds,
+    canDialSeeds: () =>
       discovery.hasListed() ||
-      clock.monotonicMs() - startedAtMs >= listAfterMs + SEEDS_AFTER_MS,
-    dial: (address) => keepLink(address, options),
+      clock.monotonicMs() - startedAtMs >= listAfterMs + SEED_DIAL_DELAY_MS,
+    dial: (address) => keepLink(address, linkOptions),
   });
   const views = createHubViews({
-    ...parts,
+    ...options,
     links,
-    getTopology: dialing.getTopology,
-    actsAsHub: dialing.actsAsHub,
+    getTopology: dialer.getTopology,
+    actsAsHub: dialer.actsAsHub,
   });
-  const proofs = createProofTeller({
-    ...parts,
+  const proofs = createProofSender({
+    ...options,
     links,
-    isNeeded: parts.needsProofs,
-    isRelay: () => dialing.actsAsHub(),
+    isNeeded: options.needsProofs,
+    isRelay: () => dialer.actsAsHub(),
   });
   const payloads = createPayloadReceiver({
-    ...parts,
+    ...options,
     links,
-    isRelay: () => !dialing.getTopology().isFullMesh && dialing.actsAsHub(),
+    isRelay: () => !dialer.getTopology().isFullMesh && dialer.actsAsHub(),
   });
-  /** What every linked VM was told of this one. */
-  let told: VmReport | undefined;
-  const listAfterMs = parts.startsWithAll ? FIRST_LIST_MS : 0;
+  /** The report as all linked VMs have it. */
+  let reported: VmReport | undefined;
+  const listAfterMs = options.isFleetBootstrap ? BOOTSTRAP_LIST_DELAY_MS : 0;
 
   function onOpen(link: VmLink): void {
     links.add(link);
     const members = table.countKnown();
     link.send({ kind: "hello", identity: self, members });
-    const report = { ...parts.makeReport(), ...proofs.makeQuestion() };
+    const report = { ...options.makeReport(), ...proofs.makeRequest() };
     link.send({ kind: "report", ...report });
   }
 
   function onClose(link: VmLink, reason: string): void {
     const lost = links.remove(link);
     if (lost === undefined) return;
-    table.noteSilent(lost.id);
+    table.recordDisconnect(lost.id);
     table.dropView(lost.id);
     log.info({ member: lost.id, peer: link.peer, reason }, "VM lost");
-    views.tellSoon();
+    views.scheduleChanges();
   }
 
   function onMessage(link: VmLink, message: VmMessage): void {
@@ -176,7 +201,7 @@
     if (message.kind === "proof") proofs.receiveProof(link, message);
     if (message.kind === "read") receiveRead(state, message);
     if (message.kind === "view") receiveView(link, state, message);
-    if (message.kind === "want_view") sendWholeView(link, state);
+    if (message.kind === "want_view") sendViewSnapshot(link, state);
     payloads.receive(link, state.identity, message);
   }
 
@@ -187,23 +212,23 @@
   ): void {
     const before = table.get(identity.id)?.identity.incarnation;
     state.identity = identity;
-    table.noteHello(identity);
+    table.recordHello(identity);
     if (before !== identity.incarnation) {
       const { id, region, frontAddress } = identity;
       log.info({ member: id, region, frontAddress }, "VM found");
     }
     if (
-      before === undefined && hasSettled() && dialing.getTopology().isFullMesh
+      before === undefined && hasSettled() && dialer.getTopology().isFullMesh
     ) {
       links.send({ kind: "members", members: [identity] });
     }
     if (members < table.countKnown()) {
       link.send({ kind: "members", members: listIdentities() });
     }
-    if (dialing.actsAsHub()) views.sendAll(link, identity);
-    parts.onFound(identity);
-    dialing.lookSoon();
-    views.tellSoon();
+    if (dialer.actsAsHub()) views.sendSnapshot(link, identity);
+    options.onFound(identity);
+    dialer.scheduleUpdate();
+    views.scheduleChanges();
   }
 
   function receiveView(
@@ -212,16 +237,18 @@
     view: Extract<VmMessage, { kind: "view" }>,
   ): void {
     if (identity === undefined) return;
-    const isKnown = table.applyView(identity.id, view);
-    if (!isKnown) return link.send({ kind: "want_view" });
+    const isApplied = table.applyView(identity.id, view);
+    if (!isApplied) return link.send({ kind: "want_view" });
     if (view.up.length + view.gone.length === 0) return;
-    dialing.lookSoon();
-    views.tellSoon();
+    dialer.scheduleUpdate();
+    views.scheduleChanges();
   }
 
   function receiveMembers(members: readonly VmIdentity[]): void {
-    const found = members.filter((identity) => table.noteHeardOf(identity));
-    if (found.length > 0) dialing.look();
+    const found = members.filter((identity) =>
+      table.recordDiscovered(identity)
+    );
+    if (found.length > 0) dialer.updateLinks();
   }
 
   function receiveReport(
@@ -230,12 +257,12 @@
     message: Extract<VmMessage, { kind: "report" }>,
   ): void {
     if (state.identity === undefined) return;
-    proofs.receiveQuestion(link, message);
+    proofs.receiveRequest(link, message);
     const { id } = state.identity;
     const before = table.get(id)?.state;
-    table.noteReport(id, message);
+    table.recordReport(id, message);
     const member = table.get(id);
-    if (member?.state !== before) views.tellSoon();
+    if (member?.state !== before) views.scheduleChanges();
     if (member?.report === undefined) return;
     for (const topic of TOPICS) {
       repair.compare(state.facts, topic, member.report.digests[topic]);
@@ -247,19 +274,20 @@
     { topic, digest, isOwn }: Extract<VmMessage, { kind: "read" }>,
   ): void {
     if (repair.compare(state.facts, topic, digest)) return;
-    board.noteCurrent(topic, 0);
-    // Told on once only: passed back and forth it would stay current for ever.
-    if (isOwn && !dialing.getTopology().isFullMesh && dialing.actsAsHub()) {
-      tellRead(topic, false);
+    factStore.noteCurrent(topic, 0);
+    // Forwarded only once: sent back and forth, it would keep the topic current
+    // forever.
+    if (isOwn && !dialer.getTopology().isFullMesh && dialer.actsAsHub()) {
+      sendRead(topic, false);
     }
   }
 
   function sendTopic(link: VmLink, topic: Topic): void {
-    link.send(makeTopicMessage(board, topic));
+    link.send(makeTopicMessage(factStore, topic));
   }
 
-  function sendWholeView(link: VmLink, { identity }: LinkState): void {
-    if (identity !== undefined) views.sendAll(link, identity);
+  function sendViewSnapshot(link: VmLink, { identity }: LinkState): void {
+    if (identity !== undefined) views.sendSnapshot(link, identity);
   }
 
   function listIdentities(): VmIdentity[] {
@@ -267,70 +295,78 @@
   }
 
   function hasSettled(): boolean {
-    return clock.monotonicMs() - startedAtMs >= STARTING_MS;
+    return clock.monotonicMs() - startedAtMs >= STARTUP_MS;
   }
 
-  function reportNow(): void {
-    const changed = pickChangedParts(told, parts.makeReport());
-    links.send({ kind: "report", ...changed, ...proofs.makeQuestion() });
-    told = mergeParts(told, changed);
+  function sendReport(): void {
+    const changed = diffReport(reported, options.makeReport());
+    links.send({ kind: "report", ...changed, ...proofs.makeRequest() });
+    reported = mergeReport(reported, changed);
   }
 
-  /** Tells that facts are current, though nothing changed. */
-  function tellRead(topic: SourceTopic, isOwn: boolean): void {
+  /** Announces that a topic is current, even if nothing changed. */
+  function sendRead(topic: SourceTopic, isOwn: boolean): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - (toldReadAtMs.get(topic) ?? -Infinity) < READ_NEWS_MS) return;
-    toldReadAtMs.set(topic, nowMs);
-    links.send({ kind: "read", topic, digest: board.getDigest(topic), isOwn });
+    if (
+      nowMs - (readSentAtMs.get(topic) ?? -Infinity) <
+        MIN_READ_MESSAGE_INTERVAL_MS
+    ) return;
+    readSentAtMs.set(topic, nowMs);
+    links.send({
+      kind: "read",
+      topic,
+      digest: factStore.getDigest(topic),
+      isOwn,
+    });
   }
 
-  /** In a large fleet hubs look for VMs, and who is linked to none. */
-  function mayKnowTooFew(): boolean {
-    const topology = dialing.getTopology();
+  /** In a large fleet only hubs and VMs without a link use the registry. */
+  function mayMissVms(): boolean {
+    const topology = dialer.getTopology();
     return topology.isFullMesh || isHub(topology, self) || links.isEmpty();
   }
 
-  acceptLinks(parts.server, options);
-  const timer = clock.every(REPORT_MS, () => {
+  acceptLinks(options.server, linkOptions);
+  const timer = clock.every(REPORT_INTERVAL_MS, () => {
     links.closeSilent();
     table.prune();
-    dialing.look();
-    reportNow();
-    views.tell();
+    dialer.updateLinks();
+    sendReport();
+    views.sendChanges();
   });
   const discovery = startDiscovery({
-    ...parts,
+    ...options,
     listAfterMs,
     countKnown: () => table.countKnown(),
-    getEpoch: () => board.getEpoch("operations"),
-    isWanted: mayKnowTooFew,
+    getEpoch: () => factStore.getEpoch("operations"),
+    shouldList: mayMissVms,
     isAlone: links.isEmpty,
     onListed: (members) => {
       receiveMembers(members);
-      dialing.look();
+      dialer.updateLinks();
     },
   });
 
   return {
-    passOn: (items) => links.send(makeNewsMessage(board, items)),
-    tellServerRateLimits: (rates) =>
+    broadcastFacts: (items) => links.send(makeFactMessage(factStore, items)),
+    broadcastServerRateLimits: (rates) =>
       links.send({ kind: "server_rate_limits", rates }),
-    noteRead(topic) {
-      tellRead(topic, true);
-      if (topic === "operations") proofs.tell();
+    announceRead(topic) {
+      sendRead(topic, true);
+      if (topic === "operations") proofs.sendProofs();
     },
-    reportNow,
+    sendReport,
     sendTo(vmIds, message) {
       const wanted = new Set(vmIds);
       links.sendWhere(message, ({ id }) => wanted.has(id));
     },
-    getTopology: dialing.getTopology,
+    getTopology: dialer.getTopology,
     getDemand: views.getDemand,
     hasListed: discovery.hasListed,
     stop() {
       timer.cancel();
       discovery.stop();
-      dialing.stop();
+      dialer.stop();
       links.close();
     },
   };
--- a/src/members/report_parts_test.ts
+++ b/src/members/report_delta_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { mergeParts, pickChangedParts } from "./report_parts.ts";
+import { diffReport, mergeReport } from "./report_delta.ts";
 import type { VmReport } from "./types.ts";
 
 function makeReport(changes: Partial<VmReport> = {}): VmReport {
@@ -13,13 +13,13 @@
   };
 }
 
-test("a receiver that knows nothing is told all", () => {
-  assert.equal(pickChangedParts(undefined, makeReport()), makeReport());
+test("a first report is sent whole", () => {
+  assert.equal(diffReport(undefined, makeReport()), makeReport());
 });
 
-test("what hardly changed is left out", () => {
+test("small changes are left out", () => {
   const now = makeReport({ demandPerS: { s: 21 } });
-  assert.equal(pickChangedParts(makeReport(), now), {});
+  assert.equal(diffReport(makeReport(), now), {});
 });
 
 const CHANGES: Partial<VmReport>[] = [
@@ -44,16 +44,16 @@
 ];
 
 for (const change of CHANGES) {
-  test(`${JSON.stringify(change)} is told and merged`, () => {
+  test(`${JSON.stringify(change)} is sent and merged`, () => {
     const now = makeReport(change);
-    const parts = pickChangedParts(makeReport(), now);
-    assert.equal(parts, change);
-    assert.equal(mergeParts(makeReport(), parts), now);
+    const delta = diffReport(makeReport(), now);
+    assert.equal(delta, change);
+    assert.equal(mergeReport(makeReport(), delta), now);
   });
 }
 
-test("parts of a report whose rest never came give none", () => {
-  assert.is(mergeParts(undefined, { state: "serving" }), undefined);
+test("an incomplete report is not returned", () => {
+  assert.is(mergeReport(undefined, { state: "serving" }), undefined);
 });
 
 test.run();
--- a/src/members/table.ts
+++ b/src/members/table.ts
@@ -1,11 +1,11 @@
 /**
- * Which VMs run, as this one sees them: those that it is linked to, and those
- * that hubs tell of.
+ * The membership table: the VMs that this VM knows, from its own links and from
+ * the views of hubs.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import { mergeParts, type ReportParts } from "./report_parts.ts";
+import { mergeReport, type ReportDelta } from "./report_delta.ts";
 import type {
   FleetView,
   ViewScope,
@@ -14,72 +14,110 @@
   VmState,
 } from "./types.ts";
 
-/** A VM and what is known of it. */
+/** A VM in the membership table. */
 export interface Member {
   identity: VmIdentity;
   state: VmState | undefined;
-  /** What it told itself; undefined where only a hub told of it. */
+  /** The VM's own report; undefined if the VM is known only from a hub. */
   report: VmReport | undefined;
-  /** When it was heard itself; undefined where it never was or fell silent. */
+  /**
+   * When the VM's last message arrived, or the last view of the hub that reports
+   * it (monotonic); undefined if there was none or its link closed.
+   */
   heardAtMs: number | undefined;
 }
 
-/** The VMs that this one knows. */
+/** The VMs that this VM knows, apart from itself. */
 export interface MemberTable {
-  /** Notes a VM that another one or the register told of. */
-  noteHeardOf(identity: VmIdentity): boolean;
-  /** Notes a VM that speaks to this one. */
-  noteHello(identity: VmIdentity): void;
-  noteReport(id: string, parts: ReportParts): void;
-  /** Notes that the link to a VM broke. */
-  noteSilent(id: string): void;
   /**
-   * Takes in what a hub tells of VMs.
+   * Adds a VM that another VM or the registry listed.
+   *
+   * @param identity The VM.
+   * @returns Whether the VM is new, or its peer address changed while it was not
+   *   heard.
+   */
+  recordDiscovered(identity: VmIdentity): boolean;
+  /**
+   * Records a VM that identified itself on a link.
+   *
+   * @param identity The VM.
+   */
+  recordHello(identity: VmIdentity): void;
+  /**
+   * Merges a report from a linked VM.
+   *
+   * @param id The VM's id.
+   * @param delta The fields received.
+   */
+  recordReport(id: string, delta: ReportDelta): void;
+  /**
+   * Records that the last link to a VM closed.
+   *
+   * @param id The VM's id.
+   */
+  recordDisconnect(id: string): void;
+  /**
+   * Applies a view from a hub.
    *
-   * @param hubId The hub.
-   * @param view What changed since the view before.
-   * @returns Whether the view before is known here; if not, all has to be told.
+   * @param hubId The hub's id.
+   * @param view The changes since the view's base revision, or a snapshot.
+   * @returns Whether the view was applied; if not, the base revision is missing
+   *   here and the hub has to send a snapshot.
    */
   applyView(hubId: string, view: FleetView): boolean;
-  /** Forgets what a hub told. */
+  /**
+   * Drops a hub's view.
+   *
+   * @param hubId The hub's id.
+   */
   dropView(hubId: string): void;
+  /**
+   * @param id A VM's id.
+   * @returns The VM; undefined if it is unknown.
+   */
   get(id: string): Member | undefined;
-  /** @returns All VMs heard of, this one not included. */
+  /** @returns All known VMs, whether they are up or not. */
   listKnown(): Member[];
-  /** @returns How many those are. */
+  /** @returns The number of known VMs. */
   countKnown(): number;
-  /** @returns VMs that speak to this one now. */
+  /** @returns VMs with a link to this VM that were heard recently. */
   listLinked(): Member[];
-  /** @returns VMs that are up, this one not included. */
+  /** @returns VMs that are up. */
   listAlive(): Member[];
   /**
-   * @returns VMs that are up, and those heard of so lately that nobody can say;
-   *   all of a region of which none is up.
+   * @returns VMs that may act as hubs: those that are up, those discovered so
+   *   recently that hubs may not have reported them yet, and all VMs of a
+   *   region in which none is known to be up.
    */
-  listPossible(): VmIdentity[];
-  /** @returns Those of them that serve clients. */
+  listHubCandidates(): VmIdentity[];
+  /** @returns VMs that are up and serve clients. */
   listServing(): VmIdentity[];
   /**
-   * @returns VMs that are linked here or to another hub. What hubs tell their
-   *   region is left out: told on, they would vouch for each other's word.
+   * @returns VMs linked to this VM or to another hub. Views of scope `fleet` are
+   *   left out: if hubs passed them on, each would keep alive what the other
+   *   reported.
+   */
+  listLinkedToAnyHub(): Member[];
+  /**
+   * @param scope The scope of the views.
+   * @returns The client demand in each recent view of that scope, in requests a
+   *   second.
    */
-  listVouched(): Member[];
-  /** @returns Demand that hubs told of lately in views of a scope. */
   listDemands(scope: ViewScope): FleetView["demandPerS"][];
-  /** Forgets VMs that nobody heard for long. */
+  /** Removes VMs that are down and not heard for a long time. */
   prune(): void;
 }
 
-/** A VM that was silent for this long counts as down: two reports and a half. */
-export const SILENCE_LIMIT_MS = 2_000;
-/** VMs that can't be reached for this long are not dialed any more. */
-const FORGET_MS = 600_000;
-/** A VM that is up is linked to a hub, and told of, this soon. */
-const UNHEARD_MS = 4_000;
-/** Time for which a list of VMs is kept where nothing was heard to change. */
-const LIST_VALID_MS = 100;
+/** A VM or hub silent for this long counts as down: two and a half reports. */
+export const PEER_TIMEOUT_MS = 2_000;
+/** Unreachable VMs are removed, and no longer dialed, after this time. */
+const MEMBER_RETENTION_MS = 600_000;
+/** Within this time a running VM is linked to a hub and reported by it. */
+const UNCONFIRMED_TTL_MS = 4_000;
+/** How long the cached list of running VMs is used if no change is recorded. */
+const LIST_TTL_MS = 100;
 
-interface KnownVm {
+interface MemberRecord {
   identity: VmIdentity;
   report: VmReport | undefined;
   heardAtMs: number | undefined;
@@ -95,19 +133,21 @@
 }
 
 /**
- * @param ownId This VM.
+ * Creates a membership table.
+ *
+ * @param ownId The id of this VM.
  * @param clock The clock.
- * @returns A table without VMs.
+ * @returns An empty table.
  */
 export function createMemberTable(ownId: string, clock: Clock): MemberTable {
-  const members = new Map<string, KnownVm>();
+  const members = new Map<string, MemberRecord>();
   const views = new Map<string, HubView>();
   let alive: Member[] | undefined;
   let aliveAtMs = 0;
 
   function isRecent(heardAtMs: number | undefined): boolean {
     return heardAtMs !== undefined &&
-      clock.monotonicMs() - heardAtMs < SILENCE_LIMIT_MS;
+      clock.monotonicMs() - heardAtMs < PEER_TIMEOUT_MS;
   }
 
   function put(identity: VmIdentity, heardAtMs: number | undefined): void {
@@ -118,7 +158,7 @@
     alive = undefined;
   }
 
-  function toMember({ identity, report, heardAtMs }: KnownVm): Member {
+  function toMember({ identity, report, heardAtMs }: MemberRecord): Member {
     return { identity, state: report?.state, report, heardAtMs };
   }
 
@@ -134,11 +174,14 @@
     );
   }
 
-  /** What a VM tells itself goes before what hubs tell of it. */
+  /**
+   * Merges linked VMs and hub views. A linked VM's own report takes precedence;
+   * among views the latest incarnation wins.
+   */
   function collect(scopes: readonly ViewScope[]): Member[] {
     const found = new Map<string, Member>();
-    for (const { heardAtMs, members: told } of listViews(scopes)) {
-      for (const [id, { identity, state }] of told) {
+    for (const { heardAtMs, members: reported } of listViews(scopes)) {
+      for (const [id, { identity, state }] of reported) {
         const other = found.get(id)?.identity.incarnation ?? "";
         if (id === ownId || identity.incarnation < other) continue;
         const member = { identity, state, report: undefined, heardAtMs };
@@ -151,7 +194,7 @@
 
   function listAlive(): Member[] {
     const nowMs = clock.monotonicMs();
-    if (alive === undefined || nowMs - aliveAtMs > LIST_VALID_MS) {
+    if (alive === undefined || nowMs - aliveAtMs > LIST_TTL_MS) {
       alive = collect(["linked", "fleet"]);
       aliveAtMs = nowMs;
     }
@@ -170,7 +213,7 @@
   }
 
   return {
-    noteHeardOf(identity) {
+    recordDiscovered(identity) {
       if (identity.id === ownId) return false;
       const known = members.get(identity.id);
       if (known !== undefined) {
@@ -180,18 +223,18 @@
       put(identity, undefined);
       return true;
     },
-    noteHello(identity) {
+    recordHello(identity) {
       if (identity.id !== ownId) put(identity, clock.monotonicMs());
     },
-    noteReport(id, parts) {
+    recordReport(id, delta) {
       const member = members.get(id);
       if (member === undefined) return;
       const before = member.report?.state;
-      member.report = mergeParts(member.report, parts);
+      member.report = mergeReport(member.report, delta);
       member.heardAtMs = clock.monotonicMs();
       if (member.report?.state !== before) alive = undefined;
     },
-    noteSilent(id) {
+    recordDisconnect(id) {
       const member = members.get(id);
       if (member !== undefined) member.heardAtMs = undefined;
       alive = undefined;
@@ -221,11 +264,11 @@
     countKnown: () => members.size,
     listLinked,
     listAlive,
-    listPossible() {
+    listHubCandidates() {
       const alive = listAlive().map(({ identity }) => identity);
       const ids = new Set(alive.map(({ id }) => id));
       const regions = new Set(alive.map(({ region }) => region));
-      const limitMs = clock.monotonicMs() - UNHEARD_MS;
+      const limitMs = clock.monotonicMs() - UNCONFIRMED_TTL_MS;
       const others = [...members.values()].filter((member) =>
         !ids.has(member.identity.id) &&
         (member.knownSinceMs > limitMs || !regions.has(member.identity.region))
@@ -236,11 +279,11 @@
       listAlive()
         .filter(({ state }) => state === "serving")
         .map(({ identity }) => identity),
-    listVouched: () => collect(["linked"]),
+    listLinkedToAnyHub: () => collect(["linked"]),
     listDemands: (scope) =>
       listViews([scope]).map(({ demandPerS }) => demandPerS),
     prune() {
-      const limitMs = clock.monotonicMs() - FORGET_MS;
+      const limitMs = clock.monotonicMs() - MEMBER_RETENTION_MS;
       const aliveIds = new Set(listAlive().map(({ identity }) => identity.id));
       for (const [id, member] of members) {
         const lastMs = Math.max(member.heardAtMs ?? 0, member.knownSinceMs);
--- a/src/members/views_test.ts
+++ b/src/members/views_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import { makeVmIdentity } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
-import { arrange } from "./hubs.ts";
+import { buildTopology } from "./hubs.ts";
 import { createMemberTable } from "./table.ts";
 import type { VmIdentity } from "./types.ts";
 import { createVmViews } from "./views.ts";
@@ -12,18 +12,18 @@
   return makeVmIdentity(`${region}-${index}`, { region, failureDomain });
 }
 
-/** The VMs that read the platform, as each sees all others. */
+/** Lists the VMs that read the platform, each in its own local view. */
 function listReaders(perRegion: number): VmIdentity[] {
   const fleet = ["oslo", "bergen"].flatMap((region) =>
     Array.from({ length: perRegion }, (_, index) => makeVm(region, index))
   );
-  const topology = arrange(fleet);
+  const topology = buildTopology(fleet);
   return fleet.filter((self) => {
     const table = createMemberTable(self.id, createFakeClock());
     for (const vm of fleet) {
-      table.noteHello(vm);
+      table.recordHello(vm);
     }
-    return createVmViews(self, table).hasReadDuty(topology);
+    return createVmViews(self, table).isReader(topology);
   });
 }
 
@@ -32,7 +32,7 @@
   assert.equal(readers.map(({ region }) => region), ["oslo", "bergen"]);
 });
 
-test("behind hubs one of them reads the platform for all", () => {
+test("in a large fleet one hub reads the platform for all", () => {
   assert.is(listReaders(60).length, 1);
 });
 
