--- a/src/activity/activity_test.ts
+++ b/src/activity/activity_test.ts
@@ -3,7 +3,7 @@
 import { makeVmIdentity } from "../gateway/fixture.ts";
 import { arrange } from "../members/hubs.ts";
 import type { VmIdentity } from "../members/types.ts";
-import { createObjectMemory } from "../placement/memory.ts";
+import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { hashToUint32 } from "../runtime/hash.ts";
 import { createSilentLog } from "../telemetry/log.ts";
@@ -23,7 +23,7 @@
 
 interface TestVm {
   identity: VmIdentity;
-  memory: ReturnType<typeof createObjectMemory>;
+  memory: ReturnType<typeof createObjectCacheModel>;
   running: ReturnType<typeof createRunningRequests>;
   sharing: ReturnType<typeof startSharing>;
   own: Map<string, number>;
@@ -41,7 +41,7 @@
     )
   );
   for (const identity of identities) {
-    const memory = createObjectMemory();
+    const memory = createObjectCacheModel();
     const running = createRunningRequests(clock);
     const own = new Map<string, number>();
     const sharing = startSharing({
@@ -91,7 +91,7 @@
 test("a small region tells all to all within 50 ms", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 3 });
-  fleet.get("oslo-vm-10").memory.note("oslo-1", "a");
+  fleet.get("oslo-vm-10").memory.recordRequest("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 2);
   clock.advance(50);
   for (const id of ["oslo-vm-11", "oslo-vm-12"]) {
@@ -129,7 +129,7 @@
   for (let vm = 10; vm < 75; vm++) {
     fleet.get(`oslo-vm-${vm}`).own.set("oslo-1", 1);
   }
-  fleet.get("oslo-vm-20").memory.note("oslo-1", "a");
+  fleet.get("oslo-vm-20").memory.recordRequest("oslo-1", "a");
   clock.advance(1_000);
   const atStart = fleet.countMessages();
   clock.advance(200);
@@ -173,7 +173,7 @@
   const fleet = startFleet(clock, { oslo: 9, bergen: 9, trondheim: 9 });
   const bergen = fleet.get("bergen-vm-10");
   bergen.own.set("oslo-1", 2);
-  bergen.memory.note("oslo-1", "a");
+  bergen.memory.recordRequest("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 5);
   fleet.get("trondheim-vm-10").own.set("trondheim-1", 7);
   clock.advance(1_000);
@@ -202,7 +202,7 @@
   const relayId = fleet.getRelayId("oslo");
   const [first, started] = ["oslo-vm-10", "oslo-vm-11", "oslo-vm-12"]
     .filter((id) => id !== relayId);
-  fleet.get(first).memory.note("oslo-1", "a");
+  fleet.get(first).memory.recordRequest("oslo-1", "a");
   clock.advance(1_000);
   const { identity } = fleet.get(started);
   const before = fleet.countMessages();
--- a/src/activity/relay.ts
+++ b/src/activity/relay.ts
@@ -8,7 +8,10 @@
  *
  * @module
  */
-import { forEachPair, type ObjectPairs } from "../placement/memory.ts";
+import {
+  forEachPair,
+  type ObjectPairs,
+} from "../placement/object_cache_model.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { addRequests, type RunningRequests } from "./running.ts";
 import type { Activity } from "./types.ts";
--- a/src/activity/running.ts
+++ b/src/activity/running.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { forEachPair } from "../placement/memory.ts";
+import { forEachPair } from "../placement/object_cache_model.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { hashToUint32 } from "../runtime/hash.ts";
 import type { RequestPairs } from "./types.ts";
--- a/src/activity/sharing.ts
+++ b/src/activity/sharing.ts
@@ -9,7 +9,7 @@
  */
 import type { VmIdentity } from "../members/types.ts";
 import { findRelay, type Topology } from "../members/hubs.ts";
-import type { ObjectMemory } from "../placement/memory.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createRelay } from "./relay.ts";
@@ -25,7 +25,7 @@
   self: VmIdentity;
   clock: Clock;
   log: Log;
-  memory: ObjectMemory;
+  memory: ObjectCacheModel;
   /** Requests of other VMs, as those who choose servers see them. */
   running: RunningRequests;
   /** Other VMs that serve clients. */
@@ -101,7 +101,7 @@
   }
 
   function takeOwn(): Activity {
-    const taken = { ...memory.takeNews(), running: parts.getOwnRunning() };
+    const taken = { ...memory.takeUpdates(), running: parts.getOwnRunning() };
     running.noteTold(taken.running);
     return taken;
   }
@@ -198,7 +198,7 @@
     welcome(identity) {
       if (identity.region !== self.region) return;
       if (!parts.getTopology().isFullMesh && !wasRelay) return;
-      const activity = { ...memory.listAsked(), running: [] };
+      const activity = { ...memory.getSnapshot(), running: [] };
       parts.send([identity.id], "past", activity);
     },
     stop: () => void (stopped = true),
--- a/src/activity/types.ts
+++ b/src/activity/types.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { ObjectNews } from "../placement/memory.ts";
+import type { ObjectCacheUpdates } from "../placement/object_cache_model.ts";
 
 /** Pairs of a server, hashed, and its requests: `server, requests, ...`. */
 export type RequestPairs = number[];
@@ -19,7 +19,7 @@
 export type ActivityScope = "vm" | "region" | "all" | "past";
 
 /** Requests at backend servers, since the last time and now. */
-export interface Activity extends ObjectNews {
+export interface Activity extends ObjectCacheUpdates {
   /** Requests that run or wait now; servers without are left out. */
   running: RequestPairs;
 }
--- a/src/gateway/core.ts
+++ b/src/gateway/core.ts
@@ -19,12 +19,12 @@
 import type { Knowledge } from "../news/knowledge.ts";
 import type { NewsItem } from "../news/types.ts";
 import type { FactVersion } from "../news/version.ts";
-import { createDemandTrend } from "../placement/demand_trend.ts";
-import { createFiguresReader } from "../placement/figures.ts";
-import type { ObjectMemory } from "../placement/memory.ts";
+import { createDemandSmoother } from "../placement/demand_smoothing.ts";
+import { createRegionStatsReader } from "../placement/region_stats.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createRanking } from "../placement/ranking.ts";
 import { createRegionPlan } from "../placement/regions.ts";
-import { createRetention } from "../placement/retention.ts";
+import { createCacheSizeEstimator } from "../placement/cache_size.ts";
 import { createSuspects, type Suspects } from "../quarantine/suspects.ts";
 import { createRetryBudget } from "../retries/budget.ts";
 import { createSplitter } from "../routing/split.ts";
@@ -63,7 +63,7 @@
   self: VmIdentity;
   table: MemberTable;
   vms: VmViews;
-  memory: ObjectMemory;
+  memory: ObjectCacheModel;
   running: RunningRequests;
   board: NewsBoard;
   knowledge: Knowledge;
@@ -98,7 +98,7 @@
   const { settings, clock, log, codec, self, table, vms, board, memory } =
     parts;
   let routes: RouteTable | undefined;
-  const getTerms = (service: string) => routes?.getTerms(service);
+  const getTerms = (service: string) => routes?.getServiceSettings(service);
   const demand = createDemandMeter(clock);
   const runTimes = createRunTimes();
   const random = createRandom(makeSeed(self));
@@ -112,7 +112,7 @@
     runTimes,
   });
   const { permits, rateLimits, backoffs } = serverLimits;
-  const retention = createRetention();
+  const retention = createCacheSizeEstimator();
   const registry = createServerRegistry({
     clock,
     log,
@@ -152,12 +152,12 @@
     }
   });
 
-  const figures = createFiguresReader({
+  const figures = createRegionStatsReader({
     ownRegion: self.region,
     regions: settings.regions,
     registry,
     table,
-    trend: createDemandTrend(clock),
+    demandSmoother: createDemandSmoother(clock),
     getSlots: permits.getSlots,
     getOwnDemand: demand.getRates,
     getFleetDemand: parts.getFleetDemand,
@@ -166,7 +166,7 @@
     clock,
     log,
     ownRegion: self.region,
-    getFigures: figures.read,
+    getStats: figures.read,
     getRequestsPerS: figures.getRequestsPerS,
     maxShift: settings.bounds.maxShift,
   });
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -35,7 +35,7 @@
   type FactSource,
   SOURCE_TOPICS,
 } from "../news/types.ts";
-import { createObjectMemory } from "../placement/memory.ts";
+import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { formatAddress } from "../runtime/address.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
@@ -97,7 +97,7 @@
     getVersion: () => getConfigurationNumber(board),
   });
   const vms = createVmViews(self, table);
-  const memory = createObjectMemory();
+  const memory = createObjectCacheModel();
   const running = createRunningRequests(clock);
   const core = createCore({
     ...parts,
--- a/src/placement/retention.ts
+++ b/src/placement/cache_size.ts
@@ -8,10 +8,10 @@
  *
  * @module
  */
-import { MAX_DEPTH } from "./memory.ts";
+import { MAX_TRACKED_OBJECTS } from "./object_cache_model.ts";
 
 /** What servers of each service keep. */
-export interface Retention {
+export interface CacheSizeEstimator {
   /**
    * Notes an answer for an object that its server was asked for before.
    *
@@ -19,12 +19,12 @@
    * @param depth For how many other objects the server was asked since.
    * @param wasKnown Whether it took as long as known objects take.
    */
-  note(service: string, depth: number, wasKnown: boolean): void;
+  record(service: string, depth: number, wasKnown: boolean): void;
   /**
    * @param service The service.
    * @returns How many objects its servers are taken to keep.
    */
-  getKept(service: string): number;
+  getCacheSize(service: string): number;
 }
 
 /**
@@ -44,31 +44,32 @@
 }
 
 /** @returns A table that takes servers to keep all that is followed. */
-export function createRetention(): Retention {
+export function createCacheSizeEstimator(): CacheSizeEstimator {
   const byService = new Map<string, Evidence>();
 
   function getEvidence(service: string): Evidence {
     const known = byService.get(service);
     if (known !== undefined) return known;
     const evidence = {
-      balance: new Float64Array(MAX_DEPTH),
+      balance: new Float64Array(MAX_TRACKED_OBJECTS),
       notes: 0,
-      kept: MAX_DEPTH,
+      kept: MAX_TRACKED_OBJECTS,
     };
     byService.set(service, evidence);
     return evidence;
   }
 
   return {
-    note(service, depth, wasKnown) {
-      if (depth >= MAX_DEPTH) return;
+    record(service, depth, wasKnown) {
+      if (depth >= MAX_TRACKED_OBJECTS) return;
       const evidence = getEvidence(service);
       evidence.balance[depth] += wasKnown ? 1 : -1;
       evidence.notes++;
       if (evidence.notes % HALVED_AFTER === 0) halve(evidence.balance);
       evidence.kept = findSplit(evidence.balance);
     },
-    getKept: (service) => byService.get(service)?.kept ?? MAX_DEPTH,
+    getCacheSize: (service) =>
+      byService.get(service)?.kept ?? MAX_TRACKED_OBJECTS,
   };
 }
 
--- a/src/placement/retention_test.ts
+++ b/src/placement/cache_size_test.ts
@@ -1,34 +1,37 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { createRandom } from "../runtime/random.ts";
-import { createObjectMemory, MAX_DEPTH } from "./memory.ts";
-import { createRetention } from "./retention.ts";
+import {
+  createObjectCacheModel,
+  MAX_TRACKED_OBJECTS,
+} from "./object_cache_model.ts";
+import { createCacheSizeEstimator } from "./cache_size.ts";
 
 test("servers are taken to keep all that is followed until answers say otherwise", () => {
-  const retention = createRetention();
-  assert.is(retention.getKept("s"), MAX_DEPTH);
-  retention.note("s", 3, true);
-  assert.is(retention.getKept("s"), MAX_DEPTH);
-  retention.note("s", 40, false);
-  assert.is(retention.getKept("s"), 40);
-  assert.is(retention.getKept("other"), MAX_DEPTH);
+  const retention = createCacheSizeEstimator();
+  assert.is(retention.getCacheSize("s"), MAX_TRACKED_OBJECTS);
+  retention.record("s", 3, true);
+  assert.is(retention.getCacheSize("s"), MAX_TRACKED_OBJECTS);
+  retention.record("s", 40, false);
+  assert.is(retention.getCacheSize("s"), 40);
+  assert.is(retention.getCacheSize("other"), MAX_TRACKED_OBJECTS);
 });
 
 test("what was asked for just now is known, whatever answers say", () => {
-  const retention = createRetention();
-  for (let count = 0; count < 10; count++) retention.note("s", 0, false);
-  assert.is(retention.getKept("s"), 2);
+  const retention = createCacheSizeEstimator();
+  for (let count = 0; count < 10; count++) retention.record("s", 0, false);
+  assert.is(retention.getCacheSize("s"), 2);
 });
 
 test("single answers that took strangely long change little", () => {
-  const retention = createRetention();
+  const retention = createCacheSizeEstimator();
   for (let count = 0; count < 20; count++) {
     for (let depth = 0; depth < 20; depth++) {
-      retention.note("s", depth, depth < 12 || count % 10 === 0);
+      retention.record("s", depth, depth < 12 || count % 10 === 0);
     }
   }
-  retention.note("s", 5, false);
-  assert.is(retention.getKept("s"), 12);
+  retention.record("s", 5, false);
+  assert.is(retention.getCacheSize("s"), 12);
 });
 
 /**
@@ -37,16 +40,16 @@
  */
 function learn(kept: number, requests: number): number {
   const random = createRandom(7);
-  const memory = createObjectMemory();
-  const retention = createRetention();
+  const memory = createObjectCacheModel();
+  const retention = createCacheSizeEstimator();
   for (let count = 0; count < requests; count++) {
     const object = `${Math.floor(60 * random() ** 2)}`;
-    const depth = memory.note("1", object);
+    const depth = memory.recordRequest("1", object);
     if (depth === undefined) continue;
     const isMisread = random() < 0.05;
-    retention.note("s", depth, (depth < kept) !== isMisread);
+    retention.record("s", depth, (depth < kept) !== isMisread);
   }
-  return retention.getKept("s");
+  return retention.getCacheSize("s");
 }
 
 test("how many objects servers keep is learned within three, whichever it is", () => {
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -14,22 +14,22 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /** What is being placed. */
-export interface Placement {
+export interface PlacementRequest {
   /** Regions to try, in order, each with its servers, best first. */
   candidates: readonly (readonly KnownServer[])[];
   /** Servers that this request was sent to already. */
   tried: ReadonlySet<string>;
   /** Load of a server, in requests a slot, above which it is full. */
-  maxUse: number;
+  maxUtilization: number;
   /**
    * Load that a first run of the object may find waiting for a slot already,
    * in requests a slot.
    */
-  firstRunQueue: number;
+  maxCacheMissQueue: number;
   /** Rate that a cold server of the service bears. */
   coldRatePerS: number;
   /** Whether a server was asked for the object not long ago. */
-  knowsObject: (serverId: string) => boolean;
+  hasCachedObject: (serverId: string) => boolean;
   /** Whether a server has few permits. */
   isRateLimited: (server: KnownServer) => boolean;
   /** Takes a permit to send one request to a server; whether there is one. */
@@ -41,8 +41,8 @@
   kind: "server";
   server: KnownServer;
   rank: number;
-  use: number;
-  isKnown: boolean;
+  utilization: number;
+  isCached: boolean;
 }
 
 /** Where an attempt goes. */
@@ -88,7 +88,7 @@
  * @returns Where it goes.
  */
 export function chooseServer(
-  placement: Placement,
+  placement: PlacementRequest,
   coldLimit: ColdLimit,
   clock: Clock,
 ): Choice {
@@ -106,15 +106,21 @@
     !tried.has(server.listed.id) && server.coldUntilMs <= clock.monotonicMs()
   );
   if (!isAnyAlive && anyone !== undefined && placement.takePermit(anyone)) {
-    const isKnown = placement.knowsObject(anyone.listed.id);
-    return { kind: "server", server: anyone, rank: 0, use: 0, isKnown };
+    const isKnown = placement.hasCachedObject(anyone.listed.id);
+    return {
+      kind: "server",
+      server: anyone,
+      rank: 0,
+      utilization: 0,
+      isCached: isKnown,
+    };
   }
   return { kind: isAnyAlive ? "full" : "none" };
 }
 
 function chooseInRegion(
   alive: readonly KnownServer[],
-  placement: Placement,
+  placement: PlacementRequest,
   coldLimit: ColdLimit,
   clock: Clock,
 ): Choice | undefined {
@@ -134,7 +140,7 @@
  */
 function findColdTurn(
   alive: readonly KnownServer[],
-  placement: Placement,
+  placement: PlacementRequest,
   coldLimit: ColdLimit,
   nowMs: number,
 ): Choice | undefined {
@@ -147,8 +153,14 @@
     return undefined;
   }
   if (!placement.takePermit(first)) return undefined;
-  const isKnown = placement.knowsObject(id);
-  return { kind: "server", server: first, rank: 0, use, isKnown };
+  const isKnown = placement.hasCachedObject(id);
+  return {
+    kind: "server",
+    server: first,
+    rank: 0,
+    utilization: use,
+    isCached: isKnown,
+  };
 }
 
 /**
@@ -159,11 +171,11 @@
  */
 function choosePermitted(
   servers: readonly KnownServer[],
-  placement: Placement,
+  placement: PlacementRequest,
 ): Choice | undefined {
   let left = servers.filter((server, rank) =>
     rank < CIRCLE || !placement.isRateLimited(server) ||
-    rank < KNOWING_CIRCLE && placement.knowsObject(server.listed.id)
+    rank < KNOWING_CIRCLE && placement.hasCachedObject(server.listed.id)
   );
   let allowed = placement;
   for (let asked = 0; asked < MAX_PERMITS_ASKED; asked++) {
@@ -173,26 +185,32 @@
     }
     left = left.filter((server) => server !== choice.server);
     // First runs of what spills over would push out what others know.
-    allowed = { ...placement, firstRunQueue: 0 };
+    allowed = { ...placement, maxCacheMissQueue: 0 };
   }
   return undefined;
 }
 
 function chooseInCircle(
   servers: readonly KnownServer[],
-  placement: Placement,
+  placement: PlacementRequest,
 ): ServerChoice | undefined {
   let best: ServerChoice | undefined;
   let bestCost = Infinity;
   servers.slice(0, KNOWING_CIRCLE).forEach((server, rank) => {
     const use = server.load.getUse();
-    const isKnown = placement.knowsObject(server.listed.id);
+    const isKnown = placement.hasCachedObject(server.listed.id);
     if (use >= getMaxUse(server, placement, isKnown)) return;
     if (rank >= CIRCLE && !isKnown) return;
     const cost = use + getPenalty(rank, isKnown);
     if (cost >= bestCost) return;
     bestCost = cost;
-    best = { kind: "server", server, rank, use, isKnown };
+    best = {
+      kind: "server",
+      server,
+      rank,
+      utilization: use,
+      isCached: isKnown,
+    };
   });
   return best;
 }
@@ -205,7 +223,8 @@
  */
 function getMaxUse(
   { load }: KnownServer,
-  { maxUse, firstRunQueue }: Placement,
+  { maxUtilization: maxUse, maxCacheMissQueue: firstRunQueue }:
+    PlacementRequest,
   isKnown: boolean,
 ): number {
   if (isKnown) return maxUse;
--- a/src/placement/choose_test.ts
+++ b/src/placement/choose_test.ts
@@ -9,14 +9,14 @@
 import { createRandom, drawExponential } from "../runtime/random.ts";
 import type { ColdLimit } from "../servers/cold_limit.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
-import { type Choice, chooseServer, type Placement } from "./choose.ts";
-import { createObjectMemory } from "./memory.ts";
-import { createRetention } from "./retention.ts";
+import { type Choice, chooseServer, type PlacementRequest } from "./choose.ts";
+import { createObjectCacheModel } from "./object_cache_model.ts";
+import { createCacheSizeEstimator } from "./cache_size.ts";
 import { createRanking } from "./ranking.ts";
 
-const NO_COLD: ColdLimit = { take: () => false };
+const NO_COLD_REQUESTS: ColdLimit = { take: () => false };
 
-function listServers(clock: FakeClock, count: number): ServerRegistry {
+function createServers(clock: FakeClock, count: number): ServerRegistry {
   const registry = makeRegistry(clock);
   for (let index = 0; index < count; index++) {
     registry.apply(makeServerNews(makeServer(`${index}`), index + 1));
@@ -31,16 +31,16 @@
 function choose(
   servers: readonly KnownServer[],
   clock: FakeClock,
-  changes: Partial<Placement> = {},
-  coldLimit = NO_COLD,
+  changes: Partial<PlacementRequest> = {},
+  coldLimit = NO_COLD_REQUESTS,
 ): Choice {
-  const placement: Placement = {
+  const placement: PlacementRequest = {
     candidates: [servers],
     tried: new Set(),
-    maxUse: 2,
-    firstRunQueue: 2,
+    maxUtilization: 2,
+    maxCacheMissQueue: 2,
     coldRatePerS: 9,
-    knowsObject: () => true,
+    hasCachedObject: () => true,
     isRateLimited: () => false,
     takePermit: () => true,
     ...changes,
@@ -48,180 +48,206 @@
   return chooseServer(placement, coldLimit, clock);
 }
 
-function idOf(choice: Choice): string {
+function getOutcome(choice: Choice): string {
   return choice.kind === "server" ? choice.server.listed.id : choice.kind;
 }
 
-function startFour() {
+function createFourServers() {
   const clock = createFakeClock();
-  const servers = [...listServers(clock, 4).listUsable("s")];
+  const servers = [...createServers(clock, 4).listUsable("s")];
   return { clock, servers };
 }
 
-test("the first server is taken while it is about as free as the second", () => {
-  const { clock, servers } = startFour();
+test("the first server is selected while its load is close to the second's", () => {
+  const { clock, servers } = createFourServers();
   load(servers[0], 1);
-  assert.is(idOf(choose(servers, clock)), "0");
+  assert.is(getOutcome(choose(servers, clock)), "0");
 });
 
-test("the second takes over where the first is fuller", () => {
-  const { clock, servers } = startFour();
+test("the second server is selected when the first has more load", () => {
+  const { clock, servers } = createFourServers();
   load(servers[0], 3);
-  assert.is(idOf(choose(servers, clock)), "1");
-  const knowsObject = (id: string) => id === "0";
-  assert.is(idOf(choose(servers, clock, { knowsObject })), "0");
+  assert.is(getOutcome(choose(servers, clock)), "1");
+  const hasCachedObject = (id: string) => id === "0";
+  assert.is(
+    getOutcome(choose(servers, clock, { hasCachedObject })),
+    "0",
+  );
 });
 
-test("what finds both servers full is refused, with others free", () => {
-  const { clock, servers } = startFour();
+test("a request is refused when both of its servers are saturated, even if others are idle", () => {
+  const { clock, servers } = createFourServers();
   load(servers[0], 8);
   load(servers[1], 8);
-  const knowsObject = () => false;
-  assert.is(idOf(choose(servers, clock, { knowsObject })), "full");
+  const hasCachedObject = () => false;
+  assert.is(
+    getOutcome(choose(servers, clock, { hasCachedObject })),
+    "full",
+  );
 });
 
-test("a server that was tried, or is kept out, makes room in the circle", () => {
-  const { clock, servers } = startFour();
+test("the next server replaces one that was tried or is ejected", () => {
+  const { clock, servers } = createFourServers();
   const tried = new Set(["0"]);
-  assert.is(idOf(choose(servers, clock, { tried })), "1");
+  assert.is(getOutcome(choose(servers, clock, { tried })), "1");
   servers[1].health.note("unreachable");
   servers[1].health.note("unreachable");
-  assert.is(idOf(choose(servers, clock, { tried })), "2");
+  assert.is(getOutcome(choose(servers, clock, { tried })), "2");
 });
 
-test("a server without a permit makes room in the circle", () => {
-  const { clock, servers } = startFour();
+test("the next server replaces one without a permit", () => {
+  const { clock, servers } = createFourServers();
   const takePermit = (server: KnownServer) => server !== servers[0];
-  const knowsObject = () => false;
-  assert.is(idOf(choose(servers, clock, { takePermit, knowsObject })), "1");
+  const hasCachedObject = () => false;
+  assert.is(
+    getOutcome(choose(servers, clock, { takePermit, hasCachedObject })),
+    "1",
+  );
   load(servers[1], 8);
-  assert.is(idOf(choose(servers, clock, { takePermit, knowsObject })), "2");
+  assert.is(
+    getOutcome(choose(servers, clock, { takePermit, hasCachedObject })),
+    "2",
+  );
 });
 
-test("a rate-limited server is asked for objects of its own only", () => {
-  const { clock, servers } = startFour();
+test("permits of a rate-limited server are used for its own objects only", () => {
+  const { clock, servers } = createFourServers();
   const asked: string[] = [];
   const takePermit = ({ listed }: KnownServer) => {
     asked.push(listed.id);
     return false;
   };
   const isRateLimited = () => true;
-  const knowsObject = (id: string) => id === "3";
+  const hasCachedObject = (id: string) => id === "3";
   const choice = choose(servers, clock, {
     isRateLimited,
     takePermit,
-    knowsObject,
+    hasCachedObject,
   });
-  assert.is(idOf(choice), "full");
+  assert.is(getOutcome(choice), "full");
   assert.equal(asked.sort(), ["0", "1", "3"]);
 });
 
-test("permits are asked for no more than some times", () => {
-  const { clock } = startFour();
-  const servers = [...listServers(clock, 40).listUsable("s")];
+test("at most eight servers are tried for a permit", () => {
+  const { clock } = createFourServers();
+  const servers = [...createServers(clock, 40).listUsable("s")];
   let asked = 0;
   const takePermit = () => {
     asked++;
     return false;
   };
-  assert.is(idOf(choose(servers, clock, { takePermit })), "full");
+  assert.is(getOutcome(choose(servers, clock, { takePermit })), "full");
   assert.is(asked, 8);
 });
 
-test("a server that fails a third of its requests is passed over", () => {
-  const { clock, servers } = startFour();
+test("a server that fails many of its requests is skipped", () => {
+  const { clock, servers } = createFourServers();
   for (let count = 0; count < 6; count++) servers[0].health.note("failed");
-  assert.is(idOf(choose(servers, clock)), "1");
+  assert.is(getOutcome(choose(servers, clock)), "1");
 });
 
-test("with every server kept out, one is tried all the same", () => {
-  const { clock, servers } = startFour();
+test("when every server is ejected, one is tried nevertheless", () => {
+  const { clock, servers } = createFourServers();
   for (const server of servers) {
     server.health.note("unreachable");
     server.health.note("unreachable");
   }
-  assert.is(idOf(choose(servers, clock)), "0");
+  assert.is(getOutcome(choose(servers, clock)), "0");
 });
 
-test("no servers, and none that are warm, are told apart", () => {
-  const { clock, servers } = startFour();
-  assert.is(idOf(choose([], clock)), "none");
+test("having no servers and having only cold ones give different results", () => {
+  const { clock, servers } = createFourServers();
+  assert.is(getOutcome(choose([], clock)), "none");
   servers.forEach((server) => server.coldUntilMs = 5_000);
-  assert.is(idOf(choose(servers, clock)), "full");
+  assert.is(getOutcome(choose(servers, clock)), "full");
 });
 
-test("a cold server gets objects of its own where the others are full", () => {
-  const { clock, servers } = startFour();
+test("a cold server gets its own objects when the others are saturated", () => {
+  const { clock, servers } = createFourServers();
   servers[0].coldUntilMs = 5_000;
-  const willing: ColdLimit = { take: () => true };
-  assert.is(idOf(choose(servers, clock, {}, willing)), "1");
+  const unlimited: ColdLimit = { take: () => true };
+  assert.is(getOutcome(choose(servers, clock, {}, unlimited)), "1");
   load(servers[1], 8);
   load(servers[2], 8);
   load(servers[3], 8);
-  assert.is(idOf(choose(servers, clock, {}, willing)), "0");
-  assert.is(idOf(choose(servers, clock)), "full");
+  assert.is(getOutcome(choose(servers, clock, {}, unlimited)), "0");
+  assert.is(getOutcome(choose(servers, clock)), "full");
   servers[0].coldUntilMs = 0;
   servers[1].coldUntilMs = 5_000;
-  assert.is(idOf(choose(servers, clock, {}, willing)), "0");
+  assert.is(getOutcome(choose(servers, clock, {}, unlimited)), "0");
 });
 
-test("a server further down is asked for what it knows", () => {
-  const { clock, servers } = startFour();
+test("a lower-ranked server is selected for an object it has cached", () => {
+  const { clock, servers } = createFourServers();
   load(servers[0], 8);
   load(servers[1], 8);
-  const knowsObject = (id: string) => id === "3";
-  assert.is(idOf(choose(servers, clock, { knowsObject })), "3");
+  const hasCachedObject = (id: string) => id === "3";
+  assert.is(
+    getOutcome(choose(servers, clock, { hasCachedObject })),
+    "3",
+  );
 });
 
-test("the second keeps what it knows while the first doesn't, until busier", () => {
-  const { clock, servers } = startFour();
-  const knowsObject = (id: string) => id === "1";
-  assert.is(idOf(choose(servers, clock, { knowsObject })), "1");
+test("the second server keeps a cached object until its load is higher than the first's", () => {
+  const { clock, servers } = createFourServers();
+  const hasCachedObject = (id: string) => id === "1";
+  assert.is(
+    getOutcome(choose(servers, clock, { hasCachedObject })),
+    "1",
+  );
   load(servers[1], 1);
-  assert.is(idOf(choose(servers, clock, { knowsObject })), "0");
+  assert.is(
+    getOutcome(choose(servers, clock, { hasCachedObject })),
+    "0",
+  );
 });
 
-test("a first run is begun only where slots are free, or what waits leaves time", () => {
-  const { clock, servers } = startFour();
-  const knowsObject = () => false;
-  const firstRun = { knowsObject, firstRunQueue: 0 };
+test("a cache miss needs a free slot, or a queue short enough to finish in time", () => {
+  const { clock, servers } = createFourServers();
+  const hasCachedObject = () => false;
+  const cacheMiss = { hasCachedObject, maxCacheMissQueue: 0 };
   load(servers[0], 3);
   load(servers[1], 3);
-  assert.is(idOf(choose(servers, clock, firstRun)), "full");
+  assert.is(getOutcome(choose(servers, clock, cacheMiss)), "full");
   assert.is(
-    idOf(choose(servers, clock, { knowsObject, firstRunQueue: 1 })),
+    getOutcome(
+      choose(servers, clock, {
+        hasCachedObject,
+        maxCacheMissQueue: 1,
+      }),
+    ),
     "0",
   );
-  const knowing = { knowsObject: (id: string) => id === "0" };
+  const cacheHit = { hasCachedObject: (id: string) => id === "0" };
   assert.is(
-    idOf(choose(servers, clock, { ...knowing, firstRunQueue: 0 })),
+    getOutcome(choose(servers, clock, { ...cacheHit, maxCacheMissQueue: 0 })),
     "0",
   );
 });
 
-test("a server of one or two slots gets first runs while it is idle", () => {
+test("a server of one or two slots accepts a cache miss while it is idle", () => {
   for (const slots of [1, 2]) {
     const clock = createFakeClock();
     const registry = makeRegistry(clock);
     registry.apply(makeServerNews(makeServer("0", { slots }), 1));
     const servers = registry.listUsable("s");
-    const firstRun = { knowsObject: () => false, firstRunQueue: 0 };
-    assert.is(idOf(choose(servers, clock, firstRun)), "0");
+    const cacheMiss = { hasCachedObject: () => false, maxCacheMissQueue: 0 };
+    assert.is(getOutcome(choose(servers, clock, cacheMiss)), "0");
     load(servers[0], 1);
-    assert.is(idOf(choose(servers, clock, firstRun)), "full");
+    assert.is(getOutcome(choose(servers, clock, cacheMiss)), "full");
   }
 });
 
-/** Asks any server of the region that has room, best ranked first. */
-function chooseScattering(servers: readonly KnownServer[]): Choice {
+/** Selects the best-ranked unsaturated server, whether it cached the object. */
+function chooseAnyServer(servers: readonly KnownServer[]): Choice {
   const server = servers.find(({ load }) => load.getUse() < 2);
   if (server === undefined) return { kind: "full" };
-  const use = server.load.getUse();
-  return { kind: "server", server, rank: 0, use, isKnown: false };
+  const utilization = server.load.getUse();
+  return { kind: "server", server, rank: 0, utilization, isCached: false };
 }
 
 interface Run {
-  /** For how many other objects its server was asked since. */
+  /** Number of other objects requested from the server since. */
   depth: number | undefined;
   server: KnownServer;
   arrivedAtMs: number;
@@ -229,38 +255,38 @@
 }
 
 /**
- * Replays a region that lost half of its servers: 144 objects, six servers of
- * five slots that remember 43 objects each, 90 requests a second; an object
- * that isn't known takes 600 ms, a known one 180 ms.
+ * Simulates a region that lost half of its servers: 144 objects, six servers of
+ * five slots that cache 43 objects each, 90 requests per second; a cache miss
+ * takes 600 ms, a hit 180 ms.
  *
  * @returns Share of the requests that are answered within 400 ms.
  */
-function replayLoss(policy: "circle" | "scatter"): number {
+function simulateLoss(policy: "twoServers" | "anyServer"): number {
   const clock = createFakeClock();
-  const registry = listServers(clock, 6);
+  const registry = createServers(clock, 6);
   const ranking = createRanking(registry);
-  const memory = createObjectMemory();
-  const retention = createRetention();
+  const cacheModel = createObjectCacheModel();
+  const cacheSizes = createCacheSizeEstimator();
   const random = createRandom(20261202);
-  const remembered = new Map<string, string[]>();
+  const cachedKeys = new Map<string, string[]>();
   const queues = new Map<string, Run[]>();
   const running = new Map<string, { run: Run; endsAtMs: number }[]>();
   const slots = 5;
   let asked = 0;
   let inTime = 0;
 
-  function work(serverId: string, { key, depth }: Run): number {
-    const known = remembered.get(serverId) ?? [];
-    const isKnown = known.includes(key);
-    const next = [...known.filter((other) => other !== key), key].slice(-43);
-    remembered.set(serverId, next);
-    if (depth !== undefined) retention.note("s", depth, isKnown);
-    return isKnown ? 180 : 600;
+  function startRun(serverId: string, { key, depth }: Run): number {
+    const cached = cachedKeys.get(serverId) ?? [];
+    const isHit = cached.includes(key);
+    const next = [...cached.filter((other) => other !== key), key].slice(-43);
+    cachedKeys.set(serverId, next);
+    if (depth !== undefined) cacheSizes.record("s", depth, isHit);
+    return isHit ? 180 : 600;
   }
 
-  function isKnown(serverId: string, key: string): boolean {
-    const depth = memory.getDepth(serverId, key);
-    return depth !== undefined && depth < retention.getKept("s");
+  function isExpectedHit(serverId: string, key: string): boolean {
+    const depth = cacheModel.getDepth(serverId, key);
+    return depth !== undefined && depth < cacheSizes.getCacheSize("s");
   }
 
   function advanceServer(serverId: string): void {
@@ -274,7 +300,7 @@
     const queue = queues.get(serverId) ?? [];
     while (busy.length < slots && queue.length > 0) {
       const run = queue.shift()!;
-      busy.push({ run, endsAtMs: nowMs + work(serverId, run) });
+      busy.push({ run, endsAtMs: nowMs + startRun(serverId, run) });
     }
     running.set(serverId, busy);
   }
@@ -286,18 +312,18 @@
       nextAtMs += drawExponential(random, 1_000 / 90);
       const key = `${Math.floor(random() * 144)}`;
       const ranked = ranking.rank("s", "oslo", key);
-      const choice = policy === "scatter"
-        ? chooseScattering(ranked)
+      const choice = policy === "anyServer"
+        ? chooseAnyServer(ranked)
         : choose(ranked, clock, {
-          maxUse: 2,
-          knowsObject: (id) => isKnown(id, key),
+          maxUtilization: 2,
+          hasCachedObject: (id) => isExpectedHit(id, key),
         });
       asked++;
       if (choice.kind !== "server") continue;
       choice.server.load.begin();
       const { server } = choice;
       const { id } = server.listed;
-      const depth = memory.note(id, key);
+      const depth = cacheModel.recordRequest(id, key);
       const run = { depth, server, arrivedAtMs: stepMs, key };
       queues.set(id, [...(queues.get(id) ?? []), run]);
     }
@@ -306,14 +332,14 @@
   return inTime / asked;
 }
 
-test("two servers an object serve more in time than any that has room", () => {
-  const scatter = replayLoss("scatter");
-  const circle = replayLoss("circle");
+test("two servers per object answer more requests in time than any unsaturated server", () => {
+  const anyServer = simulateLoss("anyServer");
+  const twoServers = simulateLoss("twoServers");
   console.log(
-    `answered in time: scatter ${scatter.toFixed(3)}, ` +
-      `circle ${circle.toFixed(3)}`,
+    `answered in time: any server ${anyServer.toFixed(3)}, ` +
+      `two servers ${twoServers.toFixed(3)}`,
   );
-  assert.ok(circle > scatter + 0.05);
+  assert.ok(twoServers > anyServer + 0.05);
 });
 
 test.run();
--- a/src/placement/demand_trend.ts
+++ b/src/placement/demand_smoothing.ts
@@ -12,16 +12,16 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /** Demand of every region, in any unit that is the same for all. */
-export type DemandByRegion = ReadonlyMap<string, number>;
+export type RegionDemand = ReadonlyMap<string, number>;
 
 /** Smooths what was measured. */
-export interface DemandTrend {
+export interface DemandSmoother {
   /**
    * @param service The service.
    * @param measured Its demand now.
    * @returns Each region's part of the demand to plan for; parts add up to 1.
    */
-  plan(service: string, measured: DemandByRegion): DemandByRegion;
+  smooth(service: string, measured: RegionDemand): RegionDemand;
 }
 
 /** Time constant of the mean; a wave lasts about as long. */
@@ -38,7 +38,7 @@
  * @param clock The clock.
  * @returns A trend that takes all regions for equal at first.
  */
-export function createDemandTrend(clock: Clock): DemandTrend {
+export function createDemandSmoother(clock: Clock): DemandSmoother {
   const means = new Map<string, Mean>();
 
   function getMean(service: string, regions: Iterable<string>): Mean {
@@ -51,7 +51,7 @@
     return mean;
   }
 
-  function follow(mean: Mean, parts: DemandByRegion): void {
+  function follow(mean: Mean, parts: RegionDemand): void {
     const nowMs = clock.monotonicMs();
     const weight = 1 - Math.exp(-(nowMs - mean.atMs) / MEAN_MS);
     mean.atMs = nowMs;
@@ -62,7 +62,7 @@
   }
 
   return {
-    plan(service, measured) {
+    smooth(service, measured) {
       const mean = getMean(service, measured.keys());
       const parts = toParts(measured);
       follow(mean, parts);
@@ -76,7 +76,7 @@
   };
 }
 
-function toParts(measured: DemandByRegion): DemandByRegion {
+function toParts(measured: RegionDemand): RegionDemand {
   const total = [...measured.values()].reduce((sum, part) => sum + part, 0);
   const equal = 1 / Math.max(1, measured.size);
   return new Map(
--- a/src/placement/demand_trend_test.ts
+++ b/src/placement/demand_smoothing_test.ts
@@ -2,9 +2,9 @@
 import { test } from "uvu";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
-import { createDemandTrend, type DemandByRegion } from "./demand_trend.ts";
+import { createDemandSmoother, type RegionDemand } from "./demand_smoothing.ts";
 import { createRegionPlan, type RegionPlan } from "./regions.ts";
-import type { RegionFigures } from "./shares.ts";
+import type { RegionStats } from "./shares.ts";
 
 const SLOTS = new Map([["oslo", 48], ["bergen", 16], ["trondheim", 32]]);
 /** Phases of the regions' waves, in periods. */
@@ -13,14 +13,14 @@
 const SWING = 0.55;
 const REGIONS = [...SLOTS.keys()];
 
-function measureWave(nowMs: number): DemandByRegion {
+function measureWave(nowMs: number): RegionDemand {
   return new Map([...PHASES].map(([region, phase]) => {
     const angle = 2 * Math.PI * (nowMs / PERIOD_MS + phase);
     return [region, 230 * (1 + SWING * Math.sin(angle))];
   }));
 }
 
-type Planner = (service: string, measured: DemandByRegion) => DemandByRegion;
+type Planner = (service: string, measured: RegionDemand) => RegionDemand;
 
 /** Largest load of a region's slots against the mean of all, over a day. */
 function playDay(makePlanner: (now: () => number) => Planner): number {
@@ -30,7 +30,7 @@
   const plans = new Map<string, RegionPlan>();
   for (const ownRegion of REGIONS) {
     const planner = makePlanner(getElapsedMs);
-    const getFigures = (service: string): RegionFigures[] => {
+    const getFigures = (service: string): RegionStats[] => {
       const demand = planner(service, measureWave(getElapsedMs()));
       return REGIONS.map((region) => ({
         region,
@@ -45,7 +45,7 @@
         clock,
         log,
         ownRegion,
-        getFigures,
+        getStats: getFigures,
         getRequestsPerS: () => 230,
         maxShift: 0.15,
       }),
@@ -61,7 +61,7 @@
 
 function findHighestLoad(
   plans: ReadonlyMap<string, RegionPlan>,
-  demand: DemandByRegion,
+  demand: RegionDemand,
 ): number {
   const load = new Map<string, number>();
   let total = 0;
@@ -81,7 +81,7 @@
   const chasing = playDay(() => (_service, measured) => measured);
   const planned = playDay((now) => {
     const clock = { ...createFakeClock(), monotonicMs: now };
-    return createDemandTrend(clock).plan;
+    return createDemandSmoother(clock).smooth;
   });
   console.log(
     `highest load: chasing ${chasing.toFixed(2)}, ` +
@@ -93,19 +93,19 @@
 
 test("a lasting change of demand is followed", () => {
   const clock = createFakeClock();
-  const trend = createDemandTrend(clock);
+  const trend = createDemandSmoother(clock);
   const measured = new Map([["a", 300], ["b", 100]]);
-  assert.ok(Math.abs(trend.plan("s", measured).get("a")! - 0.625) < 1e-9);
+  assert.ok(Math.abs(trend.smooth("s", measured).get("a")! - 0.625) < 1e-9);
   for (let second = 0; second < 120; second++) {
     clock.advance(1_000);
-    trend.plan("s", measured);
+    trend.smooth("s", measured);
   }
-  assert.ok(trend.plan("s", measured).get("a")! > 0.74);
+  assert.ok(trend.smooth("s", measured).get("a")! > 0.74);
 });
 
 test("no demand anywhere counts as equal demand", () => {
-  const trend = createDemandTrend(createFakeClock());
-  const planned = trend.plan("s", new Map([["a", 0], ["b", 0]]));
+  const trend = createDemandSmoother(createFakeClock());
+  const planned = trend.smooth("s", new Map([["a", 0], ["b", 0]]));
   assert.equal([...planned.values()], [0.5, 0.5]);
 });
 
--- a/src/placement/memory.ts
+++ b/src/placement/object_cache_model.ts
@@ -19,42 +19,42 @@
 export type ObjectPairs = number[];
 
 /** What changed in servers' memories, in the order in which it happened. */
-export interface ObjectNews {
+export interface ObjectCacheUpdates {
   asked: ObjectPairs;
   /** First requests that failed and were told of before. */
   forgotten: ObjectPairs;
 }
 
 /** What is known of servers' memories. */
-export interface ObjectMemory {
+export interface ObjectCacheModel {
   /**
    * Notes a request that is sent.
    *
    * @returns For how many other objects the server was asked since it was last
    *   asked for this one; undefined where it never was.
    */
-  note(serverId: string, objectName: string): number | undefined;
+  recordRequest(serverId: string, objectName: string): number | undefined;
   /** Notes that the first request for an object failed. */
   forget(serverId: string, objectName: string): void;
   /** @returns The same as `note`, without noting anything. */
   getDepth(serverId: string, objectName: string): number | undefined;
   /** Takes in what other VMs told. */
-  apply(news: ObjectNews): void;
+  apply(news: ObjectCacheUpdates): void;
   /** @returns What changed here since the last call, to tell other VMs. */
-  takeNews(): ObjectNews;
+  takeUpdates(): ObjectCacheUpdates;
   /** @returns What servers were asked for, for a VM that just started. */
-  listAsked(): ObjectNews;
+  getSnapshot(): ObjectCacheUpdates;
 }
 
 /** Objects followed for a server; more than servers were seen to keep. */
-export const MAX_DEPTH = 128;
+export const MAX_TRACKED_OBJECTS = 128;
 /** Servers followed; those not asked longest go first. One takes 1 KB. */
 const MAX_SERVERS = 4_096;
 /** Most numbers told at once: a tenth of a second of 10,000 requests a second. */
 const MAX_TOLD = 2_000;
 
 /** @returns A memory of nothing. */
-export function createObjectMemory(): ObjectMemory {
+export function createObjectCacheModel(): ObjectCacheModel {
   /** Objects of each server, the one asked for last at the end. */
   const orders = new Map<number, number[]>();
   let news = makeNews();
@@ -72,7 +72,7 @@
     const depth = findDepth(order, objectKey);
     if (depth !== undefined) order.splice(order.length - 1 - depth, 1);
     order.push(objectKey);
-    if (order.length > MAX_DEPTH) order.shift();
+    if (order.length > MAX_TRACKED_OBJECTS) order.shift();
     return depth;
   }
 
@@ -85,7 +85,7 @@
   }
 
   return {
-    note(serverId, objectName) {
+    recordRequest(serverId, objectName) {
       const serverKey = hashToUint32(serverId);
       const objectKey = hashToUint32(objectName);
       tell(news.asked, serverKey, objectKey);
@@ -108,12 +108,12 @@
       forEachPair(asked, put);
       forEachPair(forgotten, drop);
     },
-    takeNews() {
+    takeUpdates() {
       const taken = news;
       news = makeNews();
       return taken;
     },
-    listAsked() {
+    getSnapshot() {
       const all = makeNews();
       for (const [serverKey, order] of orders) {
         for (const objectKey of order) all.asked.push(serverKey, objectKey);
@@ -136,7 +136,7 @@
   }
 }
 
-function makeNews(): ObjectNews {
+function makeNews(): ObjectCacheUpdates {
   return { asked: [], forgotten: [] };
 }
 
--- a/src/placement/overload_test.ts
+++ b/src/placement/overload_test.ts
@@ -11,9 +11,9 @@
 import type { KnownServer } from "../servers/registry.ts";
 import { createPaceTable } from "../serving/pace.ts";
 import { chooseServer } from "./choose.ts";
-import { createObjectMemory } from "./memory.ts";
+import { createObjectCacheModel } from "./object_cache_model.ts";
 import { createRanking } from "./ranking.ts";
-import { createRetention } from "./retention.ts";
+import { createCacheSizeEstimator } from "./cache_size.ts";
 
 /** Servers, and what is asked of them. */
 const SERVERS = 12;
@@ -59,8 +59,8 @@
     registry.apply(makeServerNews(server, index + 1));
   }
   const ranking = createRanking(registry);
-  const memory = createObjectMemory();
-  const retention = createRetention();
+  const memory = createObjectCacheModel();
+  const retention = createCacheSizeEstimator();
   const pace = createPaceTable();
   const random = createRandom(20261203);
   const servers = new Map<string, TestServer>();
@@ -91,7 +91,7 @@
     const wasKnown = pace.wasKnown(ROUTE, tookMs);
     pace.noteRun(ROUTE, run.depth, tookMs);
     if (run.depth === undefined || wasKnown === undefined) return;
-    retention.note("s", run.depth, wasKnown);
+    retention.record("s", run.depth, wasKnown);
   }
 
   function advance(server: TestServer): void {
@@ -110,7 +110,7 @@
 
   function knowsObject(serverId: string, objectKey: string): boolean {
     const depth = memory.getDepth(serverId, objectKey);
-    return depth !== undefined && depth < retention.getKept("s");
+    return depth !== undefined && depth < retention.getCacheSize("s");
   }
 
   function ask(objectKey: string): void {
@@ -118,12 +118,12 @@
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried: new Set(),
-        maxUse: pace.getMaxUse(ROUTE),
-        firstRunQueue: limitsFirstRuns
+        maxUtilization: pace.getMaxUse(ROUTE),
+        maxCacheMissQueue: limitsFirstRuns
           ? pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs)
           : Infinity,
         coldRatePerS: 0,
-        knowsObject: (id) => knowsObject(id, objectKey),
+        hasCachedObject: (id) => knowsObject(id, objectKey),
         isRateLimited: () => false,
         takePermit: () => true,
       },
@@ -133,13 +133,13 @@
     if (choice.kind !== "server") return;
     const { id } = choice.server.listed;
     const nowMs = clock.monotonicMs();
-    const depth = memory.note(id, objectKey);
+    const depth = memory.recordRequest(id, objectKey);
     choice.server.load.begin();
     servers.get(id)!.queue.push({
       objectKey,
       arrivedAtMs: nowMs,
       sentAtMs: nowMs,
-      useAtStart: choice.use,
+      useAtStart: choice.utilization,
       depth,
       endsAtMs: Infinity,
     });
--- a/src/placement/placement_test.ts
+++ b/src/placement/placement_test.ts
@@ -4,14 +4,14 @@
 import { createSilentLog } from "../telemetry/log.ts";
 import { createRegionPlan } from "./regions.ts";
 import {
-  computeDistance,
+  computeMovedShare,
   computeShares,
   rankRegions,
-  type RegionFigures,
+  type RegionStats,
   stepShares,
 } from "./shares.ts";
 
-const NORDVERN: RegionFigures[] = [
+const NORDVERN: RegionStats[] = [
   { region: "oslo", slots: 48, demand: 86 },
   { region: "bergen", slots: 16, demand: 86 },
   { region: "trondheim", slots: 32, demand: 86 },
@@ -97,15 +97,15 @@
   const current = [{ region: "a", share: 1 }];
   const target = [{ region: "b", share: 1 }];
   const next = stepShares(current, target, 0.1);
-  assert.ok(Math.abs(computeDistance(current, next) - 0.1) < 1e-9);
+  assert.ok(Math.abs(computeMovedShare(current, next) - 0.1) < 1e-9);
 });
 
-function startPlan(clock: FakeClock, getFigures: () => RegionFigures[]) {
+function startPlan(clock: FakeClock, getFigures: () => RegionStats[]) {
   return createRegionPlan({
     clock,
     log: createSilentLog(),
     ownRegion: "oslo",
-    getFigures,
+    getStats: getFigures,
     getRequestsPerS: () => 100,
     maxShift: 0.15,
   });
@@ -133,7 +133,7 @@
     clock,
     log: createSilentLog(),
     ownRegion: "bergen",
-    getFigures: () => [bergen, oslo],
+    getStats: () => [bergen, oslo],
     getRequestsPerS: () => 100,
     maxShift: 0.15,
   });
@@ -172,7 +172,7 @@
       clock,
       log: createSilentLog(),
       ownRegion: "oslo",
-      getFigures: () =>
+      getStats: () =>
         NORDVERN.map((region) =>
           region.region === "oslo" ? { ...region, demand } : region
         ),
@@ -201,7 +201,7 @@
     clock.advance(50);
     history.push(plan.getShares("s", []));
     const before = history[Math.max(0, history.length - 41)];
-    assert.ok(computeDistance(before, history.at(-1)!) < maxShift / 2);
+    assert.ok(computeMovedShare(before, history.at(-1)!) < maxShift / 2);
   }
   const target = shareOf(computeShares("oslo", figures), "oslo");
   assert.ok(Math.abs(shareOf(history.at(-1)!, "oslo") - target) < 0.04);
--- a/src/placement/figures.ts
+++ b/src/placement/region_stats.ts
@@ -8,21 +8,21 @@
 import type { DemandByRegion } from "../members/types.ts";
 import type { ServerRegistry } from "../servers/registry.ts";
 import type { ListedServer } from "../servers/types.ts";
-import type { DemandTrend } from "./demand_trend.ts";
-import type { RegionFigures } from "./shares.ts";
+import type { DemandSmoother } from "./demand_smoothing.ts";
+import type { RegionStats } from "./shares.ts";
 
 /**
  * What figures are made from. Slots of cold servers count: a server stays cold
  * for 3 s, and shares that moved away from it took 20 s to come back. Servers
  * that can't be reached don't: the register lists them for another 4.5 s.
  */
-export interface FiguresParts {
+export interface RegionStatsOptions {
   ownRegion: string;
   /** Region of each failure domain. */
   regions: ReadonlyMap<string, string>;
   registry: ServerRegistry;
   table: MemberTable;
-  trend: DemandTrend;
+  demandSmoother: DemandSmoother;
   /** Slots that a server can be used with. */
   getSlots: (server: ListedServer) => number;
   /** Requests a second that this VM's clients make, by service. */
@@ -43,9 +43,9 @@
 }
 
 /** Works figures out. */
-export interface FiguresReader {
+export interface RegionStatsReader {
   /** @returns Figures of every region for one service. */
-  read(service: string): RegionFigures[];
+  read(service: string): RegionStats[];
   /** @returns Requests a second from the own region's callers. */
   getRequestsPerS(): number;
 }
@@ -54,13 +54,13 @@
  * @param parts What figures are made from.
  * @returns A reader of figures.
  */
-export function createFiguresReader(
-  parts: FiguresParts,
-): FiguresReader {
-  const { registry, table, trend } = parts;
+export function createRegionStatsReader(
+  parts: RegionStatsOptions,
+): RegionStatsReader {
+  const { registry, table, demandSmoother: trend } = parts;
 
   function addSlots(
-    figures: Map<string, RegionFigures>,
+    figures: Map<string, RegionStats>,
     service: string,
   ): void {
     for (const server of registry.listUsable(service)) {
@@ -88,7 +88,7 @@
   }
 
   function addDemand(
-    figures: Map<string, RegionFigures>,
+    figures: Map<string, RegionStats>,
     service: string,
   ): void {
     for (const { region, demandPerS } of listDemands()) {
@@ -99,20 +99,20 @@
 
   /** Shares move too slowly to follow each wave of demand. */
   function planDemand(
-    figures: Map<string, RegionFigures>,
+    figures: Map<string, RegionStats>,
     service: string,
   ): void {
     const measured = new Map(
       [...figures].map(([region, { demand }]) => [region, demand]),
     );
-    for (const [region, demand] of trend.plan(service, measured)) {
+    for (const [region, demand] of trend.smooth(service, measured)) {
       const figure = figures.get(region);
       if (figure !== undefined) figure.demand = demand;
     }
   }
 
-  function read(service: string): RegionFigures[] {
-    const figures = new Map<string, RegionFigures>();
+  function read(service: string): RegionStats[] {
+    const figures = new Map<string, RegionStats>();
     for (const region of parts.regions.values()) {
       figures.set(region, { region, slots: 0, demand: PRIOR_DEMAND_PER_S });
     }
--- a/src/placement/figures_test.ts
+++ b/src/placement/region_stats_test.ts
@@ -8,21 +8,24 @@
 } from "../gateway/fixture.ts";
 import { createMemberTable } from "../members/table.ts";
 import { createFakeClock } from "../runtime/clock.ts";
-import { createDemandTrend } from "./demand_trend.ts";
-import { createFiguresReader, type FiguresParts } from "./figures.ts";
+import { createDemandSmoother } from "./demand_smoothing.ts";
+import {
+  createRegionStatsReader,
+  type RegionStatsOptions,
+} from "./region_stats.ts";
 
 const DIGEST = { facts: 0, versionSum: 0 };
 
-function startFigures(changes: Partial<FiguresParts> = {}) {
+function startFigures(changes: Partial<RegionStatsOptions> = {}) {
   const clock = createFakeClock();
   const table = createMemberTable("self", clock);
   const registry = makeRegistry(clock);
-  const reader = createFiguresReader({
+  const reader = createRegionStatsReader({
     ownRegion: "oslo",
     regions: TEST_REGIONS,
     registry,
     table,
-    trend: createDemandTrend(clock),
+    demandSmoother: createDemandSmoother(clock),
     getSlots: ({ slots }) => slots,
     getFleetDemand: () => undefined,
     getOwnDemand: () => ({ s: 20, t: 5 }),
--- a/src/placement/regions.ts
+++ b/src/placement/regions.ts
@@ -7,11 +7,11 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 import {
-  computeDistance,
+  computeMovedShare,
   computeShares,
   getShare,
-  type RegionFigures,
   type RegionShare,
+  type RegionStats,
   stepShares,
 } from "./shares.ts";
 
@@ -26,12 +26,12 @@
 }
 
 /** What a plan needs. */
-export interface RegionPlanParts {
+export interface RegionPlanOptions {
   clock: Clock;
   log: Log;
   ownRegion: string;
   /** Slots and demand of every region, for one service. */
-  getFigures: (service: string) => RegionFigures[];
+  getStats: (service: string) => RegionStats[];
   /** Requests a second from the own region's callers, for all services. */
   getRequestsPerS: () => number;
   /** Largest share that may change region from one 2 s window to the next. */
@@ -83,18 +83,18 @@
  * @param parts What the plan needs.
  * @returns A plan that starts at the shares that today's figures ask for.
  */
-export function createRegionPlan(parts: RegionPlanParts): RegionPlan {
+export function createRegionPlan(parts: RegionPlanOptions): RegionPlan {
   const { clock, log, ownRegion, maxShift } = parts;
   const entries = new Map<string, Entry>();
 
   function listFigures(service: string, allowed: readonly string[]) {
-    return parts.getFigures(service).filter((region) =>
+    return parts.getStats(service).filter((region) =>
       allowed.length === 0 || allowed.includes(region.region)
     );
   }
 
   /** @returns Part of the requests whose servers were lost. */
-  function takeLoss(entry: Entry, figures: readonly RegionFigures[]): number {
+  function takeLoss(entry: Entry, figures: readonly RegionStats[]): number {
     const nowMs = clock.monotonicMs();
     let loss = 0;
     for (const { region, slots } of figures) {
@@ -127,17 +127,17 @@
   function step(
     service: string,
     entry: Entry,
-    figures: readonly RegionFigures[],
+    figures: readonly RegionStats[],
     elapsedMs: number,
   ): void {
     const target = computeShares(ownRegion, figures);
     const loss = takeLoss(entry, figures);
-    const distance = computeDistance(entry.shares, target);
+    const distance = computeMovedShare(entry.shares, target);
     entry.steppedAtMs = clock.monotonicMs();
     if (target.length === 0 || distance < MIN_MOVE) return;
     const limit = Math.max(loss, getMaxStep(elapsedMs));
     entry.shares = stepShares(entry.shares, target, limit);
-    const moved = computeDistance(entry.logged, entry.shares);
+    const moved = computeMovedShare(entry.logged, entry.shares);
     if (loss === 0 && moved < LOGGED_MOVE) return;
     entry.logged = entry.shares;
     const { shares } = entry;
--- a/src/placement/shares.ts
+++ b/src/placement/shares.ts
@@ -12,7 +12,7 @@
 import { rankByRendezvous } from "../runtime/hash.ts";
 
 /** What a region can do and has to do for one service. */
-export interface RegionFigures {
+export interface RegionStats {
   region: string;
   /** Slots of its servers that can be reached. */
   slots: number;
@@ -40,19 +40,19 @@
  */
 export function computeShares(
   from: string,
-  figures: readonly RegionFigures[],
+  figures: readonly RegionStats[],
 ): RegionShare[] {
   const totalSlots = sum(figures.map((region) => region.slots));
   const totalDemand = sum(figures.map((region) => region.demand));
   if (totalSlots <= 0) return [];
   const use = totalDemand / totalSlots;
 
-  function getKept({ slots, demand }: RegionFigures): number {
+  function getKept({ slots, demand }: RegionStats): number {
     if (demand <= 0 || use <= 0) return slots > 0 ? 1 : 0;
     return Math.min(1, use * slots / demand);
   }
 
-  function getOwnShare(region: RegionFigures): number {
+  function getOwnShare(region: RegionStats): number {
     return totalRoom > 0 ? getKept(region) : 1;
   }
 
@@ -88,7 +88,7 @@
   target: readonly RegionShare[],
   maxStep: number,
 ): RegionShare[] {
-  const distance = computeDistance(current, target);
+  const distance = computeMovedShare(current, target);
   if (distance <= maxStep) return [...target];
   const part = maxStep / distance;
   const regions = new Set(
@@ -106,7 +106,7 @@
  * @param b Other shares.
  * @returns Part of the requests that run in another region by `b` than by `a`.
  */
-export function computeDistance(
+export function computeMovedShare(
   a: readonly RegionShare[],
   b: readonly RegionShare[],
 ): number {
--- a/src/placement/shedding_test.ts
+++ b/src/placement/shedding_test.ts
@@ -63,10 +63,10 @@
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried,
-        maxUse: 2,
-        firstRunQueue: 1,
+        maxUtilization: 2,
+        maxCacheMissQueue: 1,
         coldRatePerS: 0,
-        knowsObject: () => true,
+        hasCachedObject: () => true,
         isRateLimited: () => false,
         takePermit: ({ listed }) => permits.take(listed),
       },
@@ -97,7 +97,7 @@
 
   for (let ms = 0; ms < DURATION_MS; ms += 1_000 / RATE_PER_S) {
     asked++;
-    budget.noteRequest("s");
+    budget.recordRequest("s");
     send(`${Math.floor(random() ** 2 * OBJECTS)}`, new Set());
     clock.advance(1_000 / RATE_PER_S);
   }
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -13,9 +13,9 @@
 import { createPaceTable } from "../serving/pace.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { chooseServer } from "./choose.ts";
-import { createObjectMemory } from "./memory.ts";
+import { createObjectCacheModel } from "./object_cache_model.ts";
 import { createRanking } from "./ranking.ts";
-import { createRetention } from "./retention.ts";
+import { createCacheSizeEstimator } from "./cache_size.ts";
 
 const SERVERS = 4;
 const SLOTS = 3;
@@ -58,8 +58,8 @@
     registry.apply(makeServerNews(server, index + 1));
   });
   const ranking = createRanking(registry);
-  const memory = createObjectMemory();
-  const retention = createRetention();
+  const memory = createObjectCacheModel();
+  const retention = createCacheSizeEstimator();
   const pace = createPaceTable();
   const runTimes = createRunTimes();
   const { permits, rateLimits } = createServerLimits({
@@ -96,12 +96,12 @@
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried: new Set(),
-        maxUse: pace.getMaxUse(ROUTE),
-        firstRunQueue: pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs),
+        maxUtilization: pace.getMaxUse(ROUTE),
+        maxCacheMissQueue: pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs),
         coldRatePerS: 0,
-        knowsObject(id) {
+        hasCachedObject(id) {
           const depth = memory.getDepth(id, nameOf);
-          return depth !== undefined && depth < retention.getKept("s");
+          return depth !== undefined && depth < retention.getCacheSize("s");
         },
         isRateLimited: ({ listed }) => permits.isRateLimited(listed),
         takePermit: ({ listed }) => permits.take(listed),
@@ -110,9 +110,9 @@
       clock,
     );
     if (choice.kind !== "server") return;
-    const { server: { listed, load }, use } = choice;
+    const { server: { listed, load }, utilization: use } = choice;
     const index = Number(listed.id);
-    const depth = memory.note(listed.id, nameOf);
+    const depth = memory.recordRequest(listed.id, nameOf);
     load.begin();
     run(servers[index], objectKey, () => {
       load.end();
@@ -124,7 +124,7 @@
         const wasKnown = pace.wasKnown(ROUTE, tookMs);
         pace.noteRun(ROUTE, depth, tookMs);
         if (wasKnown !== undefined && depth !== undefined) {
-          retention.note("s", depth, wasKnown);
+          retention.record("s", depth, wasKnown);
         }
       }
       if (index < limited && nowMs >= LIMITED_AT_MS) {
--- a/src/retries/budget.ts
+++ b/src/retries/budget.ts
@@ -11,7 +11,7 @@
 import { hashToUnit } from "../runtime/hash.ts";
 
 /** What all VMs together may spend in one window. */
-export interface BudgetTerms {
+export interface RetryBudgetSettings {
   /** Retries for each request. */
   ratio: number;
   /** Retries on top, in a window. */
@@ -21,7 +21,7 @@
 /** The retry budget of one VM. */
 export interface RetryBudget {
   /** Notes a request for a service. */
-  noteRequest(service: string): void;
+  recordRequest(service: string): void;
   /**
    * @param service The service of the request.
    * @returns Whether a retry may be sent; it is spent then.
@@ -42,7 +42,7 @@
  * @returns A full budget.
  */
 export function createRetryBudget(
-  terms: BudgetTerms,
+  terms: RetryBudgetSettings,
   countVms: () => number,
   ownId: string,
 ): RetryBudget {
@@ -63,7 +63,7 @@
   }
 
   return {
-    noteRequest(service) {
+    recordRequest(service) {
       const tokens = getTokens(service) + terms.ratio * SPENT_SHARE;
       tokensByService.set(service, Math.min(getCapacity(service), tokens));
     },
--- a/src/retries/budget_test.ts
+++ b/src/retries/budget_test.ts
@@ -21,7 +21,7 @@
       for (const count of perVm) {
         const budget = createBudget(() => perVm.length);
         for (let sent = 0; sent < count; sent++) {
-          budget.noteRequest("s");
+          budget.recordRequest("s");
           while (budget.take("s")) spent++;
         }
       }
--- a/src/routing/table.ts
+++ b/src/routing/table.ts
@@ -7,7 +7,7 @@
   type AccountDirectory,
   createAccountDirectory,
 } from "../accounts/directory.ts";
-import type { Configuration, Route, ServiceTerms } from "./types.ts";
+import type { Configuration, Route, ServiceSettings } from "./types.ts";
 
 /** Looks routes and services up in one configuration. */
 export interface RouteTable {
@@ -22,7 +22,7 @@
    * @param name A service's name.
    * @returns Its terms, where the configuration holds them.
    */
-  getTerms(name: string): ServiceTerms | undefined;
+  getServiceSettings(name: string): ServiceSettings | undefined;
   /** Client accounts; undefined where callers need none. */
   accounts: AccountDirectory | undefined;
 }
@@ -61,7 +61,7 @@
   return {
     configuration,
     match,
-    getTerms: (name) => terms.get(name),
+    getServiceSettings: (name) => terms.get(name),
     accounts: accounts && createAccountDirectory(accounts),
   };
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -42,7 +42,7 @@
 }
 
 /** What is known of a service apart from its backend servers. */
-export interface ServiceTerms {
+export interface ServiceSettings {
   name: string;
   /** Connections that one backend server accepts from all VMs together. */
   maxConnections: number;
@@ -65,7 +65,7 @@
   /** Rises with every accepted change. */
   version: number;
   routes: Route[];
-  services: ServiceTerms[];
+  services: ServiceSettings[];
   limits: RequestLimits;
   /** Absent where callers need no account. */
   accounts?: ClientAccount[];
--- a/src/serving/flow.ts
+++ b/src/serving/flow.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type { RateLimiter } from "../limits/limiter.ts";
-import type { ObjectMemory } from "../placement/memory.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import { makeFingerprint } from "../quarantine/fingerprint.ts";
 import type { Suspects } from "../quarantine/suspects.ts";
 import { type Judgement, maySendAgain } from "../quarantine/types.ts";
@@ -47,7 +47,7 @@
   splitter: Splitter;
   demand: DemandMeter;
   pace: PaceTable;
-  memory: ObjectMemory;
+  memory: ObjectCacheModel;
   exchange: Exchange;
   endCheck: EndCheck;
   suspects: Suspects;
@@ -113,7 +113,7 @@
   async function serve(request: CallerRequest): Promise<ServeResult> {
     const progress = begin(request);
     const { route } = request;
-    budget.noteRequest(progress.service);
+    budget.recordRequest(progress.service);
     parts.demand.note(progress.service);
     for (;;) {
       if (request.signal.aborted) return { kind: "client_left" };
@@ -192,7 +192,7 @@
     const useAtStart = server.load.getUse();
     progress.lastUse = useAtStart;
     const depth = progress.hasObject
-      ? memory.note(server.listed.id, nameObject(progress))
+      ? memory.recordRequest(server.listed.id, nameObject(progress))
       : undefined;
     server.load.begin();
     const running = exchange.send(
--- a/src/serving/observing.ts
+++ b/src/serving/observing.ts
@@ -4,9 +4,9 @@
  *
  * @module
  */
-import type { ObjectMemory } from "../placement/memory.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import type { Clock } from "../runtime/clock.ts";
-import type { Retention } from "../placement/retention.ts";
+import type { CacheSizeEstimator } from "../placement/cache_size.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
 import type { ServerBackoffs } from "../servers/backoffs.ts";
 import type { ServerRateLimits } from "../servers/rate_limits.ts";
@@ -25,8 +25,8 @@
   clock: Clock;
   log: Log;
   pace: PaceTable;
-  memory: ObjectMemory;
-  retention: Retention;
+  memory: ObjectCacheModel;
+  retention: CacheSizeEstimator;
   runTimes: RunTimes;
   rateLimits: Pick<ServerRateLimits, "note">;
   registry: Pick<ServerRegistry, "markDraining">;
@@ -140,9 +140,9 @@
     const wasKnown = pace.wasKnown(route, tookMs);
     pace.noteRun(route, depth, tookMs);
     if (wasKnown === undefined || depth === undefined) return;
-    const before = retention.getKept(progress.service);
-    retention.note(progress.service, depth, wasKnown);
-    const kept = retention.getKept(progress.service);
+    const before = retention.getCacheSize(progress.service);
+    retention.record(progress.service, depth, wasKnown);
+    const kept = retention.getCacheSize(progress.service);
     if (kept === before) return;
     const { service } = progress;
     log.info(
--- a/src/serving/observing_test.ts
+++ b/src/serving/observing_test.ts
@@ -6,8 +6,8 @@
   makeServer,
   makeServerNews,
 } from "../gateway/fixture.ts";
-import { createObjectMemory } from "../placement/memory.ts";
-import { createRetention } from "../placement/retention.ts";
+import { createObjectCacheModel } from "../placement/object_cache_model.ts";
+import { createCacheSizeEstimator } from "../placement/cache_size.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRunTimes } from "../servers/run_times.ts";
 import { NO_SIGNALS, type ServerSignals } from "../servers/signals.ts";
@@ -23,8 +23,8 @@
   const registry = makeRegistry(clock);
   registry.apply(makeServerNews(makeServer("1"), 1));
   const [server] = registry.listUsable("s");
-  const memory = createObjectMemory();
-  const retention = createRetention();
+  const memory = createObjectCacheModel();
+  const retention = createCacheSizeEstimator();
   const observer = createObserver({
     clock,
     log: createSilentLog(),
@@ -57,7 +57,7 @@
 function knowsAfter(result: ExchangeResult, useAtStart: number): boolean {
   const { memory, observer, server } = startObserver();
   const progress = makeProgress();
-  const depth = memory.note("1", nameObject(progress));
+  const depth = memory.recordRequest("1", nameObject(progress));
   const end = { result, tookMs: 900, useAtStart, depth, isKnown: false };
   observer.note(progress, server, end);
   return memory.getDepth("1", nameObject(progress)) !== undefined;
@@ -102,7 +102,7 @@
   const { memory, retention, observer, server } = startObserver();
   const ask = (objectKey: string, tookMs: number, useAtStart = 0.3) => {
     const progress = makeProgress({ objectKey });
-    const depth = memory.note("1", nameObject(progress));
+    const depth = memory.recordRequest("1", nameObject(progress));
     const end = { result: ANSWER, tookMs, useAtStart, depth, isKnown: false };
     observer.note(progress, server, end);
   };
@@ -111,9 +111,9 @@
     ask(`first ${count}`, 200);
   }
   ask("first 0", 900, 2);
-  assert.is(retention.getKept("s"), 128);
+  assert.is(retention.getCacheSize("s"), 128);
   ask("first 1", 900);
-  assert.is(retention.getKept("s"), 4);
+  assert.is(retention.getCacheSize("s"), 4);
 });
 
 test.run();
--- a/src/serving/placing.ts
+++ b/src/serving/placing.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import { chooseServer } from "../placement/choose.ts";
-import type { ObjectMemory } from "../placement/memory.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import type { Ranking } from "../placement/ranking.ts";
 import type { RegionPlan } from "../placement/regions.ts";
-import type { Retention } from "../placement/retention.ts";
+import type { CacheSizeEstimator } from "../placement/cache_size.ts";
 import { rankRegions, type RegionShare } from "../placement/shares.ts";
-import type { ServiceTerms } from "../routing/types.ts";
+import type { ServiceSettings } from "../routing/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { ColdLimit } from "../servers/cold_limit.ts";
 import type { ServerPermits } from "../servers/permits.ts";
@@ -31,10 +31,10 @@
   coldLimit: ColdLimit;
   permits: ServerPermits;
   pace: PaceTable;
-  memory: ObjectMemory;
-  retention: Retention;
+  memory: ObjectCacheModel;
+  retention: CacheSizeEstimator;
   /** Terms of a service in the configuration in force. */
-  getTerms: (service: string) => ServiceTerms | undefined;
+  getTerms: (service: string) => ServiceSettings | undefined;
 }
 
 /** Where an attempt goes. */
@@ -83,12 +83,12 @@
     const placement = {
       candidates,
       tried,
-      maxUse: pace.getMaxUse(route),
-      firstRunQueue: progress.hasObject
+      maxUtilization: pace.getMaxUse(route),
+      maxCacheMissQueue: progress.hasObject
         ? pace.getFirstRunQueue(route, progress.endsAtMs - clock.monotonicMs())
         : Infinity,
       coldRatePerS: parts.getTerms(service)?.coldRequestsPerS ?? 0,
-      knowsObject: (id: string) => knowsObject(progress, id),
+      hasCachedObject: (id: string) => knowsObject(progress, id),
       isRateLimited: ({ listed }: KnownServer) => permits.isRateLimited(listed),
       takePermit({ listed }: KnownServer) {
         const isTaken = permits.take(listed);
@@ -108,14 +108,14 @@
     };
     if (choice.kind !== "server") {
       const uses = readUses(service);
-      const { maxUse } = placement;
+      const { maxUtilization: maxUse } = placement;
       log.info({ ...inputs, choice: choice.kind, maxUse, uses }, "choose");
       if (throttled.length > 0) {
         return refuse("throttled", permits.getWaitMs(throttled));
       }
       return refuse(choice.kind === "full" ? "all_full" : "no_server");
     }
-    const { server, rank, use, isKnown } = choice;
+    const { server, rank, utilization: use, isCached: isKnown } = choice;
     log.info(
       {
         ...inputs,
@@ -134,7 +134,7 @@
     if (!progress.hasObject) return false;
     const depth = memory.getDepth(serverId, nameObject(progress));
     return depth !== undefined &&
-      depth < parts.retention.getKept(progress.service);
+      depth < parts.retention.getCacheSize(progress.service);
   }
 
   /** @returns How full each region's servers are, in requests a slot. */
--- a/src/serving/placing_test.ts
+++ b/src/serving/placing_test.ts
@@ -5,10 +5,10 @@
   makeServer,
   makeServerNews,
 } from "../gateway/fixture.ts";
-import { createObjectMemory } from "../placement/memory.ts";
+import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createRanking } from "../placement/ranking.ts";
 import { createRegionPlan } from "../placement/regions.ts";
-import { createRetention } from "../placement/retention.ts";
+import { createCacheSizeEstimator } from "../placement/cache_size.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import type { ListedServer } from "../servers/types.ts";
 import { createSilentLog } from "../telemetry/log.ts";
@@ -31,7 +31,7 @@
     clock,
     log,
     ownRegion: "oslo",
-    getFigures: () => [
+    getStats: () => [
       { region: "oslo", slots: 4, demand: 1 },
       { region: "bergen", slots: 4, demand: 1 },
     ],
@@ -47,8 +47,8 @@
     coldLimit: { take: () => false },
     permits,
     pace: createPaceTable(),
-    memory: createObjectMemory(),
-    retention: createRetention(),
+    memory: createObjectCacheModel(),
+    retention: createCacheSizeEstimator(),
     getTerms: () => undefined,
   });
 }
