--- a/src/placement/cache_size.ts
+++ b/src/placement/cache_size.ts
@@ -1,75 +1,79 @@
 /**
- * How many objects servers of a service remember, learned from how long their
- * answers took.
+ * Estimates how many objects the servers of a service cache, from the latency
+ * of their answers.
  *
- * Load pattern: a server that keeps 8, 13 or 17 objects is asked for a hundred.
- * Whoever takes all of them for known sends first runs, which take four times
- * as long, to servers that have no slot for them.
+ * Load pattern: a server that caches 8, 13 or 17 objects receives requests for
+ * a hundred. If all of these were taken to be cached, cache misses, which take
+ * four times as long, would go to servers that have no free slot for them.
  *
  * @module
  */
 import { MAX_TRACKED_OBJECTS } from "./object_cache_model.ts";
 
-/** What servers of each service keep. */
+/** Estimates the cache size of each service's servers. */
 export interface CacheSizeEstimator {
   /**
-   * Notes an answer for an object that its server was asked for before.
+   * Records an answer for an object that its server was asked for before.
    *
-   * @param service The service.
-   * @param depth For how many other objects the server was asked since.
-   * @param wasKnown Whether it took as long as known objects take.
+   * @param service The name of the service.
+   * @param depth Number of other objects requested from the server since.
+   * @param wasCached Whether the latency was that of a cached object.
    */
-  record(service: string, depth: number, wasKnown: boolean): void;
+  record(service: string, depth: number, wasCached: boolean): void;
   /**
-   * @param service The service.
-   * @returns How many objects its servers are taken to keep.
+   * @param service The name of the service.
+   * @returns The estimated number of objects that each of its servers caches.
    */
   getCacheSize(service: string): number;
 }
 
 /**
- * Answers after which older ones lose half of their weight: some 30 s of one
- * VM's requests on a large fleet, so that what differs after a release is
- * learned anew within a minute.
+ * Number of answers after which the weight of earlier ones is halved. One VM of
+ * a large fleet records as many in about 30 s, so the estimate follows a
+ * release that changes the cache size within a minute.
  */
-const HALVED_AFTER = 256;
-/** What a server was asked for just now it knows, whatever answers seem to say. */
-const MIN_KEPT = 2;
+const HALF_LIFE_ANSWERS = 256;
+/** Lower bound: the object requested last is cached whatever latencies suggest. */
+const MIN_CACHE_SIZE = 2;
 
+/** Recorded answers of one service. */
 interface Evidence {
-  /** For each depth, answers of known objects less those of forgotten ones. */
+  /** Cache hits minus misses by depth; recent answers weigh more. */
   balance: Float64Array;
-  notes: number;
-  kept: number;
+  answers: number;
+  cacheSize: number;
 }
 
-/** @returns A table that takes servers to keep all that is followed. */
+/**
+ * @returns An estimator that starts with the number of tracked objects, its
+ *   upper bound.
+ */
 export function createCacheSizeEstimator(): CacheSizeEstimator {
-  const byService = new Map<string, Evidence>();
+  const evidenceByService = new Map<string, Evidence>();
 
   function getEvidence(service: string): Evidence {
-    const known = byService.get(service);
-    if (known !== undefined) return known;
+    const existing = evidenceByService.get(service);
+    if (existing !== undefined) return existing;
     const evidence = {
       balance: new Float64Array(MAX_TRACKED_OBJECTS),
-      notes: 0,
-      kept: MAX_TRACKED_OBJECTS,
+      answers: 0,
+      cacheSize: MAX_TRACKED_OBJECTS,
     };
-    byService.set(service, evidence);
+    evidenceByService.set(service, evidence);
     return evidence;
   }
 
   return {
-    record(service, depth, wasKnown) {
+    record(service, depth, wasCached) {
       if (depth >= MAX_TRACKED_OBJECTS) return;
       const evidence = getEvidence(service);
-      evidence.balance[depth] += wasKnown ? 1 : -1;
-      evidence.notes++;
-      if (evidence.notes % HALVED_AFTER === 0) halve(evidence.balance);
-      evidence.kept = findSplit(evidence.balance);
+      evidence.balance[depth] += wasCached ? 1 : -1;
+      evidence.answers++;
+      if (evidence.answers % HALF_LIFE_ANSWERS === 0) halve(evidence.balance);
+      evidence.cacheSize = estimateCacheSize(evidence.balance);
     },
     getCacheSize: (service) =>
-      byService.get(service)?.kept ?? MAX_TRACKED_OBJECTS,
+      evidenceByService.get(service)?.cacheSize ?? MAX_TRACKED_OBJECTS,
   };
 }
 
@@ -78,21 +82,21 @@
 }
 
 /**
- * The depth below which most were known and from which most were forgotten:
- * the split that is wrong about the fewest answers. It reaches on to where the
- * first answers of forgotten objects lie, so that nothing is believed forgotten
- * without an answer that says so.
+ * Returns the cache size that contradicts the fewest answers: most objects
+ * below that depth were cached, and most from there on were not. The estimate
+ * extends over depths without evidence of misses, so that no object is taken to
+ * be evicted unless an answer shows it.
  */
-function findSplit(balance: Float64Array): number {
+function estimateCacheSize(balance: Float64Array): number {
   let sum = 0;
   let bestSum = 0;
   let best = 0;
-  for (let kept = 1; kept <= balance.length; kept++) {
-    sum += balance[kept - 1];
+  for (let size = 1; size <= balance.length; size++) {
+    sum += balance[size - 1];
     if (sum <= bestSum) continue;
     bestSum = sum;
-    best = kept;
+    best = size;
   }
   while (best < balance.length && balance[best] >= 0) best++;
-  return Math.max(MIN_KEPT, best);
+  return Math.max(MIN_CACHE_SIZE, best);
 }
--- a/src/placement/cache_size_test.ts
+++ b/src/placement/cache_size_test.ts
@@ -7,55 +7,58 @@
 } from "./object_cache_model.ts";
 import { createCacheSizeEstimator } from "./cache_size.ts";
 
-test("servers are taken to keep all that is followed until answers say otherwise", () => {
-  const retention = createCacheSizeEstimator();
-  assert.is(retention.getCacheSize("s"), MAX_TRACKED_OBJECTS);
-  retention.record("s", 3, true);
-  assert.is(retention.getCacheSize("s"), MAX_TRACKED_OBJECTS);
-  retention.record("s", 40, false);
-  assert.is(retention.getCacheSize("s"), 40);
-  assert.is(retention.getCacheSize("other"), MAX_TRACKED_OBJECTS);
+test("the estimate is the number of tracked objects until an answer shows a miss", () => {
+  const estimator = createCacheSizeEstimator();
+  assert.is(estimator.getCacheSize("s"), MAX_TRACKED_OBJECTS);
+  estimator.record("s", 3, true);
+  assert.is(estimator.getCacheSize("s"), MAX_TRACKED_OBJECTS);
+  estimator.record("s", 40, false);
+  assert.is(estimator.getCacheSize("s"), 40);
+  assert.is(estimator.getCacheSize("other"), MAX_TRACKED_OBJECTS);
 });
 
-test("what was asked for just now is known, whatever answers say", () => {
-  const retention = createCacheSizeEstimator();
-  for (let count = 0; count < 10; count++) retention.record("s", 0, false);
-  assert.is(retention.getCacheSize("s"), 2);
+test("the object requested last counts as cached whatever answers show", () => {
+  const estimator = createCacheSizeEstimator();
+  for (let count = 0; count < 10; count++) estimator.record("s", 0, false);
+  assert.is(estimator.getCacheSize("s"), 2);
 });
 
-test("single answers that took strangely long change little", () => {
-  const retention = createCacheSizeEstimator();
+test("single outliers barely change the estimate", () => {
+  const estimator = createCacheSizeEstimator();
   for (let count = 0; count < 20; count++) {
     for (let depth = 0; depth < 20; depth++) {
-      retention.record("s", depth, depth < 12 || count % 10 === 0);
+      estimator.record("s", depth, depth < 12 || count % 10 === 0);
     }
   }
-  retention.record("s", 5, false);
-  assert.is(retention.getCacheSize("s"), 12);
+  estimator.record("s", 5, false);
+  assert.is(estimator.getCacheSize("s"), 12);
 });
 
 /**
- * Replays servers that keep `kept` objects, asked for 60 by turns and chance,
- * where one answer in twenty is wrong about what it shows.
+ * Simulates random requests for 60 objects to a server that caches `cacheSize`
+ * of them, where one answer in twenty is classified wrongly.
  */
-function learn(kept: number, requests: number): number {
+function estimateCacheSize(cacheSize: number, requests: number): number {
   const random = createRandom(7);
-  const memory = createObjectCacheModel();
-  const retention = createCacheSizeEstimator();
+  const cacheModel = createObjectCacheModel();
+  const estimator = createCacheSizeEstimator();
   for (let count = 0; count < requests; count++) {
     const object = `${Math.floor(60 * random() ** 2)}`;
-    const depth = memory.recordRequest("1", object);
+    const depth = cacheModel.recordRequest("1", object);
     if (depth === undefined) continue;
-    const isMisread = random() < 0.05;
-    retention.record("s", depth, (depth < kept) !== isMisread);
+    const isMisclassified = random() < 0.05;
+    estimator.record("s", depth, (depth < cacheSize) !== isMisclassified);
   }
-  return retention.getCacheSize("s");
+  return estimator.getCacheSize("s");
 }
 
-test("how many objects servers keep is learned within three, whichever it is", () => {
-  for (const kept of [5, 8, 13, 17, 30]) {
-    const learned = learn(kept, 400);
-    assert.ok(Math.abs(learned - kept) <= 3, `${learned} for ${kept}`);
+test("the estimate is within three objects of the cache size", () => {
+  for (const cacheSize of [5, 8, 13, 17, 30]) {
+    const estimate = estimateCacheSize(cacheSize, 400);
+    assert.ok(
+      Math.abs(estimate - cacheSize) <= 3,
+      `${estimate} for ${cacheSize}`,
+    );
   }
 });
 
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -1,11 +1,12 @@
 /**
- * Chooses the backend server for one attempt of a request.
+ * Selects the backend server for one attempt of a request.
  *
- * Load pattern: servers answer three times faster for objects they know, and
- * a few objects are asked for far more than others. So an object has a first
- * and a second server; the second takes over what the first has no room for,
- * and both stay warm. A larger circle dilutes what each server remembers;
- * further servers are asked only for what they know already.
+ * Load pattern: a server answers three times faster for objects that it has
+ * cached, and a few objects receive most of the requests. Each object therefore
+ * has a first and a second server; the second takes what the first has no
+ * capacity for, and the object stays cached on both. Spreading an object over
+ * more servers would dilute their caches, so further servers are used only for
+ * objects that they have cached already.
  *
  * @module
  */
@@ -13,26 +14,29 @@
 import type { KnownServer } from "../servers/registry.ts";
 import type { Clock } from "../runtime/clock.ts";
 
-/** What is being placed. */
+/** Input for the selection of a server. */
 export interface PlacementRequest {
   /** Regions to try, in order, each with its servers, best first. */
   candidates: readonly (readonly KnownServer[])[];
-  /** Servers that this request was sent to already. */
+  /** Ids of the servers that this request was already sent to. */
   tried: ReadonlySet<string>;
-  /** Load of a server, in requests a slot, above which it is full. */
+  /** Utilization, in requests per slot, at which a server is saturated. */
   maxUtilization: number;
   /**
-   * Load that a first run of the object may find waiting for a slot already,
-   * in requests a slot.
+   * Requests per slot that may already wait for a slot on a server that has not
+   * cached the object.
    */
   maxCacheMissQueue: number;
-  /** Rate that a cold server of the service bears. */
+  /** Requests per second that a cold server of the service can take. */
   coldRatePerS: number;
-  /** Whether a server was asked for the object not long ago. */
+  /** Whether a server is expected to have the object cached. */
   hasCachedObject: (serverId: string) => boolean;
-  /** Whether a server has few permits. */
+  /** Whether a server advertises a rate limit. */
   isRateLimited: (server: KnownServer) => boolean;
-  /** Takes a permit to send one request to a server; whether there is one. */
+  /**
+   * Takes a permit to send one request to a server. Returns false if none is
+   * left.
+   */
   takePermit: (server: KnownServer) => boolean;
 }
 
@@ -40,52 +44,60 @@
 export interface ServerChoice {
   kind: "server";
   server: KnownServer;
+  /** Position in the ranking, without the servers ruled out before; from 0. */
   rank: number;
+  /** Requests per slot before this attempt. */
   utilization: number;
+  /** Whether the server is expected to have the object cached. */
   isCached: boolean;
 }
 
-/** Where an attempt goes. */
+/** The result of the selection. */
 export type Choice =
   | ServerChoice
-  /** Every server that could take it is full. */
+  /** Every eligible server is saturated. */
   | { kind: "full" }
-  /** There is no server that could take it. */
+  /** No server is eligible. */
   | { kind: "none" };
 
 /**
- * Servers that share an object. What finds all of them full is refused: other
- * servers would have to forget objects of their own for it, and with half of
- * the servers lost none knew its objects any more.
+ * Number of servers that share an object. If all of them are saturated, the
+ * request is refused: other servers would have to evict objects of their own,
+ * and after half of the servers were lost, no server had its objects cached any
+ * more.
  */
-const CIRCLE = 2;
-/** Servers further down that are asked if they know the object. */
-const KNOWING_CIRCLE = 4;
+const SERVERS_PER_OBJECT = 2;
+/** Number of best-ranked servers considered if they have cached the object. */
+const CACHED_CANDIDATES = 4;
 /**
- * What a server's memory is worth, in requests a slot: a server is taken while
- * it is less full by the difference. Running an object that isn't known takes
- * three times as long. The first server learns its objects sooner than others,
- * so that a server that joins gets its part.
+ * Cost of sending a request to a server other than the first with the object
+ * cached, in requests per slot: a server is preferred while its utilization is
+ * lower by more than the difference. A request for an uncached object takes
+ * three times as long. A miss costs less on the first server than on others, so
+ * that a server that joins starts to receive its objects.
  */
-const FIRST_UNKNOWING_PENALTY = 0.35;
-const KNOWING_PENALTY = 0.25;
-const UNKNOWING_PENALTY = 0.9;
+const FIRST_SERVER_MISS_PENALTY = 0.35;
+const HIT_PENALTY = 0.25;
+const MISS_PENALTY = 0.9;
 /**
- * Slots that others may have taken, unheard of, while a request is on its way:
- * a server of nine slots gets first runs up to 0.85 requests a slot. Goodput
- * was the same for 0.55, with half as many again refused.
+ * Slots reserved for requests of other VMs that are not reported yet when a
+ * request arrives. A server with nine slots accepts cache misses up to 0.85
+ * requests per slot; a bound of 0.55 gave the same goodput with 50% more
+ * refusals.
  */
-const KEPT_FREE_SLOTS = 1.35;
-/** Servers whose permits are asked for in one attempt, at the most. */
-const MAX_PERMITS_ASKED = 8;
-/** A server that failed this share of recent requests is asked last. */
-const POOR_FAILURE_SHARE = 0.35;
+const RESERVED_SLOTS = 1.35;
+/** Maximum number of servers tried for a permit in one attempt. */
+const MAX_PERMIT_TRIES = 8;
+/** Servers with at least this share of recent failures are the last resort. */
+const HIGH_FAILURE_SHARE = 0.35;
 
 /**
- * @param placement What is being placed.
- * @param coldLimit Says whether a cold server may get one more request.
+ * Selects a server in the first region that has an eligible one.
+ *
+ * @param placement The request's candidates and limits.
+ * @param coldLimit Admits requests to cold servers.
  * @param clock The clock.
- * @returns Where it goes.
+ * @returns The selected server, or why there is none.
  */
 export function chooseServer(
   placement: PlacementRequest,
@@ -102,17 +114,17 @@
     const choice = chooseInRegion(alive, placement, coldLimit, clock);
     if (choice !== undefined) return choice;
   }
-  const anyone = candidates.flat().find((server) =>
+  const fallback = candidates.flat().find((server) =>
     !tried.has(server.listed.id) && server.coldUntilMs <= clock.monotonicMs()
   );
-  if (!isAnyAlive && anyone !== undefined && placement.takePermit(anyone)) {
-    const isKnown = placement.hasCachedObject(anyone.listed.id);
+  if (!isAnyAlive && fallback !== undefined && placement.takePermit(fallback)) {
+    const isCached = placement.hasCachedObject(fallback.listed.id);
     return {
       kind: "server",
-      server: anyone,
+      server: fallback,
       rank: 0,
       utilization: 0,
-      isCached: isKnown,
+      isCached,
     };
   }
   return { kind: isAnyAlive ? "full" : "none" };
@@ -126,19 +138,20 @@
 ): Choice | undefined {
   const nowMs = clock.monotonicMs();
   const warm = alive.filter((server) => server.coldUntilMs <= nowMs);
-  const sound = warm.filter((server) =>
-    server.health.getFailureShare() < POOR_FAILURE_SHARE
+  const healthy = warm.filter((server) =>
+    server.health.getFailureShare() < HIGH_FAILURE_SHARE
   );
-  const chosen = sound.length > 0 ? sound : warm;
-  return choosePermitted(chosen, placement) ??
-    findColdTurn(alive, placement, coldLimit, nowMs);
+  const eligible = healthy.length > 0 ? healthy : warm;
+  return chooseWithPermit(eligible, placement) ??
+    chooseColdServer(alive, placement, coldLimit, nowMs);
 }
 
 /**
- * A cold server gets its own objects only, at its rate, and only where those
- * that know them are full: it takes twice as long even for what it knows.
+ * Selects the object's first server if it is cold. A cold server receives only
+ * its own objects, at a limited rate, and only when the warm servers cannot
+ * take the request: while cold it takes twice as long even for cached objects.
  */
-function findColdTurn(
+function chooseColdServer(
   alive: readonly KnownServer[],
   placement: PlacementRequest,
   coldLimit: ColdLimit,
@@ -146,94 +159,86 @@
 ): Choice | undefined {
   const first = alive[0];
   if (first === undefined || first.coldUntilMs <= nowMs) return undefined;
-  const use = first.load.getUse();
-  if (use >= 1) return undefined;
+  const utilization = first.load.getUse();
+  if (utilization >= 1) return undefined;
   const { id } = first.listed;
   if (!coldLimit.take(id, placement.coldRatePerS, first.region)) {
     return undefined;
   }
   if (!placement.takePermit(first)) return undefined;
-  const isKnown = placement.hasCachedObject(id);
-  return {
-    kind: "server",
-    server: first,
-    rank: 0,
-    utilization: use,
-    isCached: isKnown,
-  };
+  const isCached = placement.hasCachedObject(id);
+  return { kind: "server", server: first, rank: 0, utilization, isCached };
 }
 
 /**
- * A request that gets no permit for a server goes to the next in the order. The
- * few permits of a rate-limited server are kept for objects of its own: spent on
- * others they buy late first runs, and where all servers are limited nothing is
- * answered in time.
+ * Selects a server that grants a permit; if one has none left, the next best is
+ * tried. Permits of rate-limited servers are kept for their own objects: used
+ * for other objects they are spent on cache misses that finish too late, and if
+ * all servers are limited, no request is answered in time.
  */
-function choosePermitted(
+function chooseWithPermit(
   servers: readonly KnownServer[],
   placement: PlacementRequest,
 ): Choice | undefined {
-  let left = servers.filter((server, rank) =>
-    rank < CIRCLE || !placement.isRateLimited(server) ||
-    rank < KNOWING_CIRCLE && placement.hasCachedObject(server.listed.id)
+  let remaining = servers.filter((server, rank) =>
+    rank < SERVERS_PER_OBJECT || !placement.isRateLimited(server) ||
+    rank < CACHED_CANDIDATES && placement.hasCachedObject(server.listed.id)
   );
-  let allowed = placement;
-  for (let asked = 0; asked < MAX_PERMITS_ASKED; asked++) {
-    const choice = chooseInCircle(left, allowed);
+  let constraints = placement;
+  for (let tries = 0; tries < MAX_PERMIT_TRIES; tries++) {
+    const choice = chooseCheapest(remaining, constraints);
     if (choice === undefined || placement.takePermit(choice.server)) {
       return choice;
     }
-    left = left.filter((server) => server !== choice.server);
-    // First runs of what spills over would push out what others know.
-    allowed = { ...placement, maxCacheMissQueue: 0 };
+    remaining = remaining.filter((server) => server !== choice.server);
+    // Queued cache misses would evict objects of the next server from its cache.
+    constraints = { ...placement, maxCacheMissQueue: 0 };
   }
   return undefined;
 }
 
-function chooseInCircle(
+/** Selects the unsaturated server with the lowest utilization plus penalty. */
+function chooseCheapest(
   servers: readonly KnownServer[],
   placement: PlacementRequest,
 ): ServerChoice | undefined {
   let best: ServerChoice | undefined;
   let bestCost = Infinity;
-  servers.slice(0, KNOWING_CIRCLE).forEach((server, rank) => {
-    const use = server.load.getUse();
-    const isKnown = placement.hasCachedObject(server.listed.id);
-    if (use >= getMaxUse(server, placement, isKnown)) return;
-    if (rank >= CIRCLE && !isKnown) return;
-    const cost = use + getPenalty(rank, isKnown);
+  servers.slice(0, CACHED_CANDIDATES).forEach((server, rank) => {
+    const utilization = server.load.getUse();
+    const isCached = placement.hasCachedObject(server.listed.id);
+    if (utilization >= getMaxUtilization(server, placement, isCached)) return;
+    if (rank >= SERVERS_PER_OBJECT && !isCached) return;
+    const cost = utilization + getPenalty(rank, isCached);
     if (cost >= bestCost) return;
     bestCost = cost;
-    best = {
-      kind: "server",
-      server,
-      rank,
-      utilization: use,
-      isCached: isKnown,
-    };
+    best = { kind: "server", server, rank, utilization, isCached };
   });
   return best;
 }
 
 /**
- * A first run takes most of the time that its request has. Begun where it has
- * to wait, it is cut off: it takes a slot for as long, and its caller gets
- * nothing. With two requests a slot, three quarters of the servers' time went
- * to requests that were cut off.
+ * Returns the utilization from which a server refuses the request. The limit is
+ * lower for cache misses, which take most of the time that a request has: one
+ * that has to queue first times out after it has occupied a slot for as long as
+ * one that succeeds. With misses accepted up to two requests per slot, three
+ * quarters of the servers' time went to requests that timed out.
  */
-function getMaxUse(
+function getMaxUtilization(
   { load }: KnownServer,
-  { maxUtilization: maxUse, maxCacheMissQueue: firstRunQueue }:
-    PlacementRequest,
-  isKnown: boolean,
+  { maxUtilization, maxCacheMissQueue }: PlacementRequest,
+  isCached: boolean,
 ): number {
-  if (isKnown) return maxUse;
-  // An idle server takes one, however few slots it has.
-  const free = Math.max(1, load.getSlots() - KEPT_FREE_SLOTS);
-  return Math.min(maxUse, free / load.getSlots() + firstRunQueue);
+  if (isCached) return maxUtilization;
+  // An idle server accepts a cache miss however few slots it has.
+  const freeSlots = Math.max(1, load.getSlots() - RESERVED_SLOTS);
+  return Math.min(
+    maxUtilization,
+    freeSlots / load.getSlots() + maxCacheMissQueue,
+  );
 }
 
-function getPenalty(rank: number, isKnown: boolean): number {
-  if (rank === 0) return isKnown ? 0 : FIRST_UNKNOWING_PENALTY;
-  return isKnown ? KNOWING_PENALTY : UNKNOWING_PENALTY;
+function getPenalty(rank: number, isCached: boolean): number {
+  if (rank === 0) return isCached ? 0 : FIRST_SERVER_MISS_PENALTY;
+  return isCached ? HIT_PENALTY : MISS_PENALTY;
 }
--- a/src/placement/choose_test.ts
+++ b/src/placement/choose_test.ts
@@ -112,9 +112,9 @@
 
 test("permits of a rate-limited server are used for its own objects only", () => {
   const { clock, servers } = createFourServers();
-  const asked: string[] = [];
+  const triedIds: string[] = [];
   const takePermit = ({ listed }: KnownServer) => {
-    asked.push(listed.id);
+    triedIds.push(listed.id);
     return false;
   };
   const isRateLimited = () => true;
@@ -125,19 +125,19 @@
     hasCachedObject,
   });
   assert.is(getOutcome(choice), "full");
-  assert.equal(asked.sort(), ["0", "1", "3"]);
+  assert.equal(triedIds.sort(), ["0", "1", "3"]);
 });
 
 test("at most eight servers are tried for a permit", () => {
   const { clock } = createFourServers();
   const servers = [...createServers(clock, 40).listUsable("s")];
-  let asked = 0;
+  let tries = 0;
   const takePermit = () => {
-    asked++;
+    tries++;
     return false;
   };
   assert.is(getOutcome(choose(servers, clock, { takePermit })), "full");
-  assert.is(asked, 8);
+  assert.is(tries, 8);
 });
 
 test("a server that fails many of its requests is skipped", () => {
@@ -238,7 +238,7 @@
   }
 });
 
-/** Selects the best-ranked unsaturated server, whether it cached the object. */
+/** Selects the best-ranked unsaturated server, cached object or not. */
 function chooseAnyServer(servers: readonly KnownServer[]): Choice {
   const server = servers.find(({ load }) => load.getUse() < 2);
   if (server === undefined) return { kind: "full" };
@@ -272,7 +272,7 @@
   const queues = new Map<string, Run[]>();
   const running = new Map<string, { run: Run; endsAtMs: number }[]>();
   const slots = 5;
-  let asked = 0;
+  let requestCount = 0;
   let inTime = 0;
 
   function startRun(serverId: string, { key, depth }: Run): number {
@@ -318,7 +318,7 @@
           maxUtilization: 2,
           hasCachedObject: (id) => isExpectedHit(id, key),
         });
-      asked++;
+      requestCount++;
       if (choice.kind !== "server") continue;
       choice.server.load.begin();
       const { server } = choice;
@@ -329,7 +329,7 @@
     }
     clock.advance(5);
   }
-  return inTime / asked;
+  return inTime / requestCount;
 }
 
 test("two servers per object answer more requests in time than any unsaturated server", () => {
--- a/src/placement/demand_smoothing_test.ts
+++ b/src/placement/demand_smoothing_test.ts
@@ -7,31 +7,31 @@
 import type { RegionStats } from "./shares.ts";
 
 const SLOTS = new Map([["oslo", 48], ["bergen", 16], ["trondheim", 32]]);
-/** Phases of the regions' waves, in periods. */
+/** Phase of each region's demand wave, in periods. */
 const PHASES = new Map([["oslo", 0.3], ["bergen", 0.63], ["trondheim", 0.97]]);
 const PERIOD_MS = 36_000;
-const SWING = 0.55;
+const AMPLITUDE = 0.55;
 const REGIONS = [...SLOTS.keys()];
 
-function measureWave(nowMs: number): RegionDemand {
+function getDemand(nowMs: number): RegionDemand {
   return new Map([...PHASES].map(([region, phase]) => {
     const angle = 2 * Math.PI * (nowMs / PERIOD_MS + phase);
-    return [region, 230 * (1 + SWING * Math.sin(angle))];
+    return [region, 230 * (1 + AMPLITUDE * Math.sin(angle))];
   }));
 }
 
-type Planner = (service: string, measured: RegionDemand) => RegionDemand;
+type Smooth = (service: string, measured: RegionDemand) => RegionDemand;
 
-/** Largest load of a region's slots against the mean of all, over a day. */
-function playDay(makePlanner: (now: () => number) => Planner): number {
+/** Highest load per slot of a region within a period, relative to the mean. */
+function simulatePeriod(createSmooth: (now: () => number) => Smooth): number {
   const clock = createFakeClock();
   const startMs = clock.monotonicMs();
   const getElapsedMs = () => clock.monotonicMs() - startMs;
   const plans = new Map<string, RegionPlan>();
   for (const ownRegion of REGIONS) {
-    const planner = makePlanner(getElapsedMs);
-    const getFigures = (service: string): RegionStats[] => {
-      const demand = planner(service, measureWave(getElapsedMs()));
+    const smooth = createSmooth(getElapsedMs);
+    const getStats = (service: string): RegionStats[] => {
+      const demand = smooth(service, getDemand(getElapsedMs()));
       return REGIONS.map((region) => ({
         region,
         slots: SLOTS.get(region)!,
@@ -45,7 +45,7 @@
         clock,
         log,
         ownRegion,
-        getStats: getFigures,
+        getStats,
         getRequestsPerS: () => 230,
         maxShift: 0.15,
       }),
@@ -53,7 +53,7 @@
   }
   let worst = 0;
   for (let stepMs = 0; stepMs < PERIOD_MS; stepMs += 100) {
-    worst = Math.max(worst, findHighestLoad(plans, measureWave(stepMs)));
+    worst = Math.max(worst, findHighestLoad(plans, getDemand(stepMs)));
     clock.advance(100);
   }
   return worst;
@@ -73,40 +73,42 @@
     }
   }
   const mean = total / [...SLOTS.values()].reduce((sum, one) => sum + one, 0);
-  const uses = [...load].map(([region, one]) => one / SLOTS.get(region)!);
-  return Math.max(...uses) / mean;
+  const utilizations = [...load].map(([region, one]) =>
+    one / SLOTS.get(region)!
+  );
+  return Math.max(...utilizations) / mean;
 }
 
-test("a small region is not overwhelmed by waves of demand", () => {
-  const chasing = playDay(() => (_service, measured) => measured);
-  const planned = playDay((now) => {
+test("waves of demand don't overload a small region", () => {
+  const unsmoothed = simulatePeriod(() => (_service, measured) => measured);
+  const smoothed = simulatePeriod((now) => {
     const clock = { ...createFakeClock(), monotonicMs: now };
     return createDemandSmoother(clock).smooth;
   });
   console.log(
-    `highest load: chasing ${chasing.toFixed(2)}, ` +
-      `planned ${planned.toFixed(2)} times the mean`,
+    `highest load: unsmoothed ${unsmoothed.toFixed(2)}, ` +
+      `smoothed ${smoothed.toFixed(2)} times the mean`,
   );
-  assert.ok(planned < 1.5);
-  assert.ok(planned < chasing - 0.25);
+  assert.ok(smoothed < 1.5);
+  assert.ok(smoothed < unsmoothed - 0.25);
 });
 
-test("a lasting change of demand is followed", () => {
+test("the smoothed demand follows a lasting change", () => {
   const clock = createFakeClock();
-  const trend = createDemandSmoother(clock);
+  const smoother = createDemandSmoother(clock);
   const measured = new Map([["a", 300], ["b", 100]]);
-  assert.ok(Math.abs(trend.smooth("s", measured).get("a")! - 0.625) < 1e-9);
+  assert.ok(Math.abs(smoother.smooth("s", measured).get("a")! - 0.625) < 1e-9);
   for (let second = 0; second < 120; second++) {
     clock.advance(1_000);
-    trend.smooth("s", measured);
+    smoother.smooth("s", measured);
   }
-  assert.ok(trend.smooth("s", measured).get("a")! > 0.74);
+  assert.ok(smoother.smooth("s", measured).get("a")! > 0.74);
 });
 
-test("no demand anywhere counts as equal demand", () => {
-  const trend = createDemandSmoother(createFakeClock());
-  const planned = trend.smooth("s", new Map([["a", 0], ["b", 0]]));
-  assert.equal([...planned.values()], [0.5, 0.5]);
+test("without any demand all regions get equal shares", () => {
+  const smoother = createDemandSmoother(createFakeClock());
+  const smoothed = smoother.smooth("s", new Map([["a", 0], ["b", 0]]));
+  assert.equal([...smoothed.values()], [0.5, 0.5]);
 });
 
 test.run();
--- a/src/placement/object_cache_model.ts
+++ b/src/placement/object_cache_model.ts
@@ -1,86 +1,100 @@
 /**
- * Which backend servers know which objects: what this VM saw, and what other
- * VMs told.
+ * Predicts which backend servers have which objects cached, from the requests
+ * that this VM sent and those that other VMs reported.
  *
- * A server remembers so many objects, and forgets the one that it was not asked
- * for longest. So what counts is not how long ago it was asked for an object,
- * but for how many others since: with time alone, 105 objects were taken for
- * known at servers that keep 17. It knows an object from the start of its first
- * request; that request takes three to four times as long as those after it.
+ * A server caches a fixed number of objects and evicts the least recently used.
+ * The prediction therefore counts the other objects requested from the server
+ * since, not the time that has passed: by time alone, 105 objects were taken to
+ * be cached on servers that keep 17. An object counts as cached from the start
+ * of its first request, which takes three to four times as long as later ones.
  *
  * @module
  */
 import { hashToUint32 } from "../runtime/hash.ts";
 
 /**
- * Pairs of a server and an object that it was asked for, both hashed, one after
- * the other: `server, object, server, object`. A pair takes 10 bytes on a link.
+ * Hashes of servers and of objects requested from them, alternating: `server,
+ * object, server, object`. A pair takes 10 bytes on a link between VMs.
  */
 export type ObjectPairs = number[];
 
-/** What changed in servers' memories, in the order in which it happened. */
+/** Changes of the servers' predicted caches, each list in order of occurrence. */
 export interface ObjectCacheUpdates {
+  /** Requests that were sent. */
   asked: ObjectPairs;
-  /** First requests that failed and were told of before. */
+  /** First requests that were reported before and then failed. */
   forgotten: ObjectPairs;
 }
 
-/** What is known of servers' memories. */
+/** Predicts the cached objects of each server. */
 export interface ObjectCacheModel {
   /**
-   * Notes a request that is sent.
+   * Records that a request is sent.
    *
-   * @returns For how many other objects the server was asked since it was last
-   *   asked for this one; undefined where it never was.
+   * @returns The object's depth before this request: the number of other
+   *   objects requested from the server since this one; undefined if it is not
+   *   tracked for the server.
    */
   recordRequest(serverId: string, objectName: string): number | undefined;
-  /** Notes that the first request for an object failed. */
+  /** Removes an object whose first request failed. */
   forget(serverId: string, objectName: string): void;
-  /** @returns The same as `note`, without noting anything. */
+  /**
+   * @returns The object's depth: the number of other objects requested from the
+   *   server since this one; undefined if it is not tracked for the server.
+   */
   getDepth(serverId: string, objectName: string): number | undefined;
-  /** Takes in what other VMs told. */
-  apply(news: ObjectCacheUpdates): void;
-  /** @returns What changed here since the last call, to tell other VMs. */
+  /** Applies updates from another VM. */
+  apply(updates: ObjectCacheUpdates): void;
+  /** @returns Local changes since the last call, to be sent to other VMs. */
   takeUpdates(): ObjectCacheUpdates;
-  /** @returns What servers were asked for, for a VM that just started. */
+  /** @returns All tracked objects, to be sent to a VM that just started. */
   getSnapshot(): ObjectCacheUpdates;
 }
 
-/** Objects followed for a server; more than servers were seen to keep. */
+/** Objects tracked per server; more than any observed server caches. */
 export const MAX_TRACKED_OBJECTS = 128;
-/** Servers followed; those not asked longest go first. One takes 1 KB. */
+/** Tracked servers, least recently used evicted first; each takes 1 KB. */
 const MAX_SERVERS = 4_096;
-/** Most numbers told at once: a tenth of a second of 10,000 requests a second. */
-const MAX_TOLD = 2_000;
+/**
+ * Maximum length of a pending list: the pairs of 0.1 s at 10,000 requests per
+ * second.
+ */
+const MAX_PENDING_NUMBERS = 2_000;
 
-/** @returns A memory of nothing. */
+/** @returns A model that predicts empty caches. */
 export function createObjectCacheModel(): ObjectCacheModel {
-  /** Objects of each server, the one asked for last at the end. */
-  const orders = new Map<number, number[]>();
-  let news = makeNews();
+  /** Object hashes by server hash, most recently requested last. */
+  const lists = new Map<number, number[]>();
+  let pending = createEmptyUpdates();
 
-  function getOrder(serverKey: number): number[] {
-    const order = orders.get(serverKey) ?? [];
-    orders.delete(serverKey);
-    orders.set(serverKey, order);
-    if (orders.size > MAX_SERVERS) orders.delete(orders.keys().next().value!);
-    return order;
+  /** Returns a server's list and makes it the most recently used one. */
+  function touchServer(serverKey: number): number[] {
+    const objects = lists.get(serverKey) ?? [];
+    lists.delete(serverKey);
+    lists.set(serverKey, objects);
+    if (lists.size > MAX_SERVERS) lists.delete(lists.keys().next().value!);
+    return objects;
   }
 
-  function put(serverKey: number, objectKey: number): number | undefined {
-    const order = getOrder(serverKey);
-    const depth = findDepth(order, objectKey);
-    if (depth !== undefined) order.splice(order.length - 1 - depth, 1);
-    order.push(objectKey);
-    if (order.length > MAX_TRACKED_OBJECTS) order.shift();
+  /** Makes an object its server's most recent; returns its previous depth. */
+  function touchObject(
+    serverKey: number,
+    objectKey: number,
+  ): number | undefined {
+    const objects = touchServer(serverKey);
+    const depth = findDepth(objects, objectKey);
+    if (depth !== undefined) objects.splice(objects.length - 1 - depth, 1);
+    objects.push(objectKey);
+    if (objects.length > MAX_TRACKED_OBJECTS) objects.shift();
     return depth;
   }
 
-  function drop(serverKey: number, objectKey: number): boolean {
-    const order = orders.get(serverKey) ?? [];
-    const depth = findDepth(order, objectKey);
+  /** Returns whether the object was tracked. */
+  function removeObject(serverKey: number, objectKey: number): boolean {
+    const objects = lists.get(serverKey) ?? [];
+    const depth = findDepth(objects, objectKey);
     if (depth === undefined) return false;
-    order.splice(order.length - 1 - depth, 1);
+    objects.splice(objects.length - 1 - depth, 1);
     return true;
   }
 
@@ -88,35 +102,35 @@
     recordRequest(serverId, objectName) {
       const serverKey = hashToUint32(serverId);
       const objectKey = hashToUint32(objectName);
-      tell(news.asked, serverKey, objectKey);
-      return put(serverKey, objectKey);
+      appendPair(pending.asked, serverKey, objectKey);
+      return touchObject(serverKey, objectKey);
     },
     forget(serverId, objectName) {
       const serverKey = hashToUint32(serverId);
       const objectKey = hashToUint32(objectName);
-      if (drop(serverKey, objectKey)) {
-        tell(news.forgotten, serverKey, objectKey);
+      if (removeObject(serverKey, objectKey)) {
+        appendPair(pending.forgotten, serverKey, objectKey);
       }
     },
     getDepth(serverId, objectName) {
-      const order = orders.get(hashToUint32(serverId));
-      return order === undefined
+      const objects = lists.get(hashToUint32(serverId));
+      return objects === undefined
         ? undefined
-        : findDepth(order, hashToUint32(objectName));
+        : findDepth(objects, hashToUint32(objectName));
     },
     apply({ asked, forgotten }) {
-      forEachPair(asked, put);
-      forEachPair(forgotten, drop);
+      forEachPair(asked, touchObject);
+      forEachPair(forgotten, removeObject);
     },
     takeUpdates() {
-      const taken = news;
-      news = makeNews();
-      return taken;
+      const updates = pending;
+      pending = createEmptyUpdates();
+      return updates;
     },
     getSnapshot() {
-      const all = makeNews();
-      for (const [serverKey, order] of orders) {
-        for (const objectKey of order) all.asked.push(serverKey, objectKey);
+      const all = createEmptyUpdates();
+      for (const [serverKey, objects] of lists) {
+        for (const objectKey of objects) all.asked.push(serverKey, objectKey);
       }
       return all;
     },
@@ -124,7 +138,9 @@
 }
 
 /**
- * @param pairs Pairs of numbers.
+ * Calls a function for each pair of a flat list.
+ *
+ * @param pairs Pairs of numbers, one after the other.
  * @param visit Called for each pair, in order.
  */
 export function forEachPair(
@@ -136,18 +152,23 @@
   }
 }
 
-function makeNews(): ObjectCacheUpdates {
+function createEmptyUpdates(): ObjectCacheUpdates {
   return { asked: [], forgotten: [] };
 }
 
-function tell(pairs: ObjectPairs, serverKey: number, objectKey: number): void {
-  if (pairs.length < MAX_TOLD) pairs.push(serverKey, objectKey);
+/** Appends a pair, or drops it if the list is full. */
+function appendPair(
+  pairs: ObjectPairs,
+  serverKey: number,
+  objectKey: number,
+): void {
+  if (pairs.length < MAX_PENDING_NUMBERS) pairs.push(serverKey, objectKey);
 }
 
 function findDepth(
-  order: readonly number[],
+  objects: readonly number[],
   objectKey: number,
 ): number | undefined {
-  const index = order.lastIndexOf(objectKey);
-  return index < 0 ? undefined : order.length - 1 - index;
+  const index = objects.lastIndexOf(objectKey);
+  return index < 0 ? undefined : objects.length - 1 - index;
 }
--- a/src/placement/object_cache_model_test.ts
+++ b/src/placement/object_cache_model_test.ts
@@ -5,74 +5,74 @@
   MAX_TRACKED_OBJECTS,
 } from "./object_cache_model.ts";
 
-const NOTHING = { asked: [], forgotten: [] };
+const NO_UPDATES = { asked: [], forgotten: [] };
 
-test("depth counts the other objects asked for since, each once", () => {
-  const memory = createObjectCacheModel();
-  assert.is(memory.recordRequest("1", "a"), undefined);
-  assert.is(memory.getDepth("1", "a"), 0);
-  memory.recordRequest("1", "b");
-  memory.recordRequest("1", "c");
-  memory.recordRequest("1", "b");
-  assert.is(memory.getDepth("1", "a"), 2);
-  assert.is(memory.recordRequest("1", "a"), 2);
-  assert.is(memory.getDepth("1", "a"), 0);
-  assert.is(memory.getDepth("2", "a"), undefined);
+test("depth counts each other object requested since once", () => {
+  const model = createObjectCacheModel();
+  assert.is(model.recordRequest("1", "a"), undefined);
+  assert.is(model.getDepth("1", "a"), 0);
+  model.recordRequest("1", "b");
+  model.recordRequest("1", "c");
+  model.recordRequest("1", "b");
+  assert.is(model.getDepth("1", "a"), 2);
+  assert.is(model.recordRequest("1", "a"), 2);
+  assert.is(model.getDepth("1", "a"), 0);
+  assert.is(model.getDepth("2", "a"), undefined);
 });
 
-test("each request is told of, in order, once", () => {
-  const memory = createObjectCacheModel();
-  memory.recordRequest("1", "a");
-  memory.recordRequest("2", "b");
-  memory.recordRequest("1", "a");
-  const { asked } = memory.takeUpdates();
+test("updates contain each request once, in order", () => {
+  const model = createObjectCacheModel();
+  model.recordRequest("1", "a");
+  model.recordRequest("2", "b");
+  model.recordRequest("1", "a");
+  const { asked } = model.takeUpdates();
   assert.is(asked.length, 6);
   assert.equal(asked.slice(0, 2), asked.slice(4));
-  assert.equal(memory.takeUpdates(), NOTHING);
+  assert.equal(model.takeUpdates(), NO_UPDATES);
 });
 
-test("what another VM told counts like own requests, and isn't told on", () => {
-  const memory = createObjectCacheModel();
+test("updates from another VM count like own requests and aren't passed on", () => {
+  const model = createObjectCacheModel();
   const other = createObjectCacheModel();
   other.recordRequest("1", "a");
   other.recordRequest("1", "b");
-  memory.apply(other.takeUpdates());
-  assert.is(memory.getDepth("1", "a"), 1);
-  assert.equal(memory.takeUpdates(), NOTHING);
+  model.apply(other.takeUpdates());
+  assert.is(model.getDepth("1", "a"), 1);
+  assert.equal(model.takeUpdates(), NO_UPDATES);
 });
 
-test("a first request that failed is taken back everywhere", () => {
-  const memory = createObjectCacheModel();
+test("an object whose first request failed is removed on all VMs", () => {
+  const model = createObjectCacheModel();
   const other = createObjectCacheModel();
-  memory.recordRequest("1", "a");
-  other.apply(memory.takeUpdates());
-  memory.forget("1", "a");
-  memory.forget("1", "never asked");
-  assert.is(memory.getDepth("1", "a"), undefined);
-  const news = memory.takeUpdates();
-  assert.is(news.forgotten.length, 2);
-  other.apply(news);
+  model.recordRequest("1", "a");
+  other.apply(model.takeUpdates());
+  model.forget("1", "a");
+  model.forget("1", "never asked");
+  assert.is(model.getDepth("1", "a"), undefined);
+  const updates = model.takeUpdates();
+  assert.is(updates.forgotten.length, 2);
+  other.apply(updates);
   assert.is(other.getDepth("1", "a"), undefined);
 });
 
-test("a VM that starts is told what servers were asked for, oldest first", () => {
-  const memory = createObjectCacheModel();
-  memory.recordRequest("1", "a");
-  memory.recordRequest("1", "b");
+test("a snapshot gives a VM that starts all tracked objects in order", () => {
+  const model = createObjectCacheModel();
+  model.recordRequest("1", "a");
+  model.recordRequest("1", "b");
   const started = createObjectCacheModel();
-  started.apply(memory.getSnapshot());
+  started.apply(model.getSnapshot());
   assert.is(started.getDepth("1", "a"), 1);
   assert.is(started.getDepth("1", "b"), 0);
 });
 
-test("objects beyond those that are followed are forgotten", () => {
-  const memory = createObjectCacheModel();
-  memory.recordRequest("1", "first");
+test("the oldest object is dropped beyond the maximum tracked per server", () => {
+  const model = createObjectCacheModel();
+  model.recordRequest("1", "first");
   for (let count = 0; count < MAX_TRACKED_OBJECTS; count++) {
-    memory.recordRequest("1", `${count}`);
+    model.recordRequest("1", `${count}`);
   }
-  assert.is(memory.getDepth("1", "first"), undefined);
-  assert.is(memory.getDepth("1", "0"), MAX_TRACKED_OBJECTS - 1);
+  assert.is(model.getDepth("1", "first"), undefined);
+  assert.is(model.getDepth("1", "0"), MAX_TRACKED_OBJECTS - 1);
 });
 
 test.run();
--- a/src/placement/overload_test.ts
+++ b/src/placement/overload_test.ts
@@ -15,13 +15,12 @@
 import { createRanking } from "./ranking.ts";
 import { createCacheSizeEstimator } from "./cache_size.ts";
 
-/** Servers, and what is asked of them. */
 const SERVERS = 12;
 const SLOTS = 9;
-const KEPT = 17;
+const CACHE_SIZE = 17;
 const OBJECTS = 700;
-const KNOWN_MS = 650;
-const FIRST_MS = 2_450;
+const HIT_MS = 650;
+const MISS_MS = 2_450;
 const ROUTE = makeRoute({ timeoutMs: 3_000, targetLatencyMs: 1_500 });
 const STEP_MS = 10;
 const DURATION_MS = 40_000;
@@ -30,28 +29,28 @@
   objectKey: string;
   arrivedAtMs: number;
   sentAtMs: number;
-  useAtStart: number;
+  utilizationAtStart: number;
   depth: number | undefined;
   endsAtMs: number;
 }
 
 interface TestServer {
-  known: KnownServer;
-  keys: string[];
+  registered: KnownServer;
+  cachedKeys: string[];
   running: Run[];
   queue: Run[];
 }
 
 /**
- * Replays a service that is asked for far more objects than its servers keep,
- * a third of them in two thirds of the requests. Servers run nine requests and
- * queue the rest; a request that is not answered after 3 s is cut off.
+ * Simulates a service with far more objects than its servers cache, of which a
+ * third receive about two thirds of the requests. Servers run nine requests and
+ * queue the rest; a request that is not answered after 3 s times out.
  *
- * @param ratePerS Requests a second.
- * @param limitsFirstRuns Whether first runs wait for slots that are free.
- * @returns Answers within the target of 1.5 s, a second.
+ * @param ratePerS Requests per second.
+ * @param limitsCacheMisses Whether the queue for cache misses is limited.
+ * @returns Answers per second within the target of 1.5 s.
  */
-function replay(ratePerS: number, limitsFirstRuns: boolean): number {
+function simulate(ratePerS: number, limitsCacheMisses: boolean): number {
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
   for (let index = 0; index < SERVERS; index++) {
@@ -59,39 +58,44 @@
     registry.apply(makeServerNews(server, index + 1));
   }
   const ranking = createRanking(registry);
-  const memory = createObjectCacheModel();
-  const retention = createCacheSizeEstimator();
+  const cacheModel = createObjectCacheModel();
+  const cacheSizes = createCacheSizeEstimator();
   const pace = createPaceTable();
   const random = createRandom(20261203);
   const servers = new Map<string, TestServer>();
-  for (const known of registry.listUsable("s")) {
-    servers.set(known.listed.id, { known, keys: [], running: [], queue: [] });
+  for (const registered of registry.listUsable("s")) {
+    servers.set(registered.listed.id, {
+      registered,
+      cachedKeys: [],
+      running: [],
+      queue: [],
+    });
   }
   let inTime = 0;
 
   function start(server: TestServer, run: Run): void {
-    const isKnown = server.keys.includes(run.objectKey);
-    server.keys = [
-      ...server.keys.filter((key) => key !== run.objectKey),
+    const isHit = server.cachedKeys.includes(run.objectKey);
+    server.cachedKeys = [
+      ...server.cachedKeys.filter((key) => key !== run.objectKey),
       run.objectKey,
-    ].slice(-KEPT);
-    const meanMs = isKnown ? KNOWN_MS : FIRST_MS;
+    ].slice(-CACHE_SIZE);
+    const meanMs = isHit ? HIT_MS : MISS_MS;
     run.endsAtMs = clock.monotonicMs() + meanMs * (0.85 + 0.3 * random());
     server.running.push(run);
   }
 
   function finish(server: TestServer, run: Run): void {
-    server.known.load.end();
+    server.registered.load.end();
     const nowMs = clock.monotonicMs();
     if (nowMs - run.arrivedAtMs >= ROUTE.timeoutMs) return;
     const tookMs = nowMs - run.sentAtMs;
     if (nowMs - run.arrivedAtMs <= ROUTE.targetLatencyMs) inTime++;
-    pace.note(ROUTE, tookMs, run.useAtStart);
-    if (run.useAtStart >= 0.8) return;
-    const wasKnown = pace.wasKnown(ROUTE, tookMs);
+    pace.note(ROUTE, tookMs, run.utilizationAtStart);
+    if (run.utilizationAtStart >= 0.8) return;
+    const wasCached = pace.wasKnown(ROUTE, tookMs);
     pace.noteRun(ROUTE, run.depth, tookMs);
-    if (run.depth === undefined || wasKnown === undefined) return;
-    retention.record("s", run.depth, wasKnown);
+    if (run.depth === undefined || wasCached === undefined) return;
+    cacheSizes.record("s", run.depth, wasCached);
   }
 
   function advance(server: TestServer): void {
@@ -108,22 +112,22 @@
     }
   }
 
-  function knowsObject(serverId: string, objectKey: string): boolean {
-    const depth = memory.getDepth(serverId, objectKey);
-    return depth !== undefined && depth < retention.getCacheSize("s");
+  function hasCachedObject(serverId: string, objectKey: string): boolean {
+    const depth = cacheModel.getDepth(serverId, objectKey);
+    return depth !== undefined && depth < cacheSizes.getCacheSize("s");
   }
 
-  function ask(objectKey: string): void {
+  function send(objectKey: string): void {
     const choice = chooseServer(
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried: new Set(),
         maxUtilization: pace.getMaxUse(ROUTE),
-        maxCacheMissQueue: limitsFirstRuns
+        maxCacheMissQueue: limitsCacheMisses
           ? pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs)
           : Infinity,
         coldRatePerS: 0,
-        hasCachedObject: (id) => knowsObject(id, objectKey),
+        hasCachedObject: (id) => hasCachedObject(id, objectKey),
         isRateLimited: () => false,
         takePermit: () => true,
       },
@@ -133,13 +137,13 @@
     if (choice.kind !== "server") return;
     const { id } = choice.server.listed;
     const nowMs = clock.monotonicMs();
-    const depth = memory.recordRequest(id, objectKey);
+    const depth = cacheModel.recordRequest(id, objectKey);
     choice.server.load.begin();
     servers.get(id)!.queue.push({
       objectKey,
       arrivedAtMs: nowMs,
       sentAtMs: nowMs,
-      useAtStart: choice.utilization,
+      utilizationAtStart: choice.utilization,
       depth,
       endsAtMs: Infinity,
     });
@@ -150,28 +154,28 @@
     for (const server of servers.values()) advance(server);
     while (nextAtMs <= clock.monotonicMs()) {
       nextAtMs += drawExponential(random, 1_000 / ratePerS);
-      ask(`${Math.floor(OBJECTS * random() ** 2)}`);
+      send(`${Math.floor(OBJECTS * random() ** 2)}`);
     }
     clock.advance(STEP_MS);
   }
   return inTime / (DURATION_MS / 1_000);
 }
 
-/** A service with 108 slots bears some 50 requests a second. */
+/** The service has 108 slots and a capacity of about 50 requests per second. */
 const RATES_PER_S = [25, 50, 75, 100, 150];
 
-test("a service at twice the load that it bears serves on", () => {
-  const limited = RATES_PER_S.map((ratePerS) => replay(ratePerS, true));
-  const unlimited = RATES_PER_S.map((ratePerS) => replay(ratePerS, false));
+test("throughput stays high when the load is above the capacity", () => {
+  const limited = RATES_PER_S.map((ratePerS) => simulate(ratePerS, true));
+  const unlimited = RATES_PER_S.map((ratePerS) => simulate(ratePerS, false));
   const format = (values: number[]) =>
     values.map((value) => value.toFixed(1)).join(" ");
   console.log(
     `answered in time at ${RATES_PER_S.join(" ")} requests/s: ` +
-      `first runs limited ${format(limited)}, not ${format(unlimited)}`,
+      `cache misses limited ${format(limited)}, not ${format(unlimited)}`,
   );
   const best = Math.max(...limited);
-  const bornIndex = limited.findIndex((value) => value >= 0.9 * best);
-  for (const value of limited.slice(bornIndex)) assert.ok(value >= 0.8 * best);
+  const peakIndex = limited.findIndex((value) => value >= 0.9 * best);
+  for (const value of limited.slice(peakIndex)) assert.ok(value >= 0.8 * best);
   const last = RATES_PER_S.length - 1;
   assert.ok(limited[last] > 2 * unlimited[last]);
 });
--- a/src/placement/placement_test.ts
+++ b/src/placement/placement_test.ts
@@ -17,50 +17,53 @@
   { region: "trondheim", slots: 32, demand: 86 },
 ];
 
-function shareOf(shares: { region: string; share: number }[], region: string) {
+function findShare(
+  shares: { region: string; share: number }[],
+  region: string,
+) {
   return shares.find((share) => share.region === region)?.share ?? 0;
 }
 
-test("a region with room keeps its objects", () => {
+test("a region with spare slots keeps its objects", () => {
   const shares = computeShares("oslo", NORDVERN);
-  assert.is(shareOf(shares, "oslo"), 1);
+  assert.is(findShare(shares, "oslo"), 1);
 });
 
-test("a region short of slots sends a fixed part to where room is", () => {
+test("a region short of slots sends a share to regions with spare slots", () => {
   const shares = computeShares("bergen", NORDVERN);
-  assert.ok(Math.abs(shareOf(shares, "bergen") - 0.5) < 0.01);
-  assert.ok(shareOf(shares, "oslo") > 0.35);
+  assert.ok(Math.abs(findShare(shares, "bergen") - 0.5) < 0.01);
+  assert.ok(findShare(shares, "oslo") > 0.35);
   const total = shares.reduce((sum, { share }) => sum + share, 0);
   assert.ok(Math.abs(total - 1) < 1e-9);
 });
 
-test("a region without servers sends everything away", () => {
-  const figures = NORDVERN.map((region) =>
+test("a region without servers sends all requests away", () => {
+  const stats = NORDVERN.map((region) =>
     region.region === "bergen" ? { ...region, slots: 0 } : region
   );
-  const shares = computeShares("bergen", figures);
-  assert.is(shareOf(shares, "bergen"), 0);
+  const shares = computeShares("bergen", stats);
+  assert.is(findShare(shares, "bergen"), 0);
 });
 
-test("a region that may not serve has no share, not even of none", () => {
+test("a region that may not serve gets no entry, not even one of 0", () => {
   const allowed = NORDVERN.filter(({ region }) => region !== "oslo");
   for (const slots of [16, 0]) {
-    const figures = allowed.map((figure) =>
-      figure.region === "bergen" ? { ...figure, slots } : figure
+    const stats = allowed.map((region) =>
+      region.region === "bergen" ? { ...region, slots } : region
     );
-    const regions = computeShares("oslo", figures).map(({ region }) => region);
+    const regions = computeShares("oslo", stats).map(({ region }) => region);
     assert.equal(regions.sort(), ["bergen", "trondheim"]);
   }
 });
 
 test("no slots anywhere gives no shares", () => {
-  const figures = NORDVERN.map((region) => ({ ...region, slots: 0 }));
-  assert.equal(computeShares("bergen", figures), []);
+  const stats = NORDVERN.map((region) => ({ ...region, slots: 0 }));
+  assert.equal(computeShares("bergen", stats), []);
 });
 
 const OBJECTS = Array.from({ length: 10_000 }, (_, index) => `object ${index}`);
 
-function dealObjects(oslo: number, bergen: number, trondheim: number) {
+function rankObjects(oslo: number, bergen: number, trondheim: number) {
   const shares = [
     { region: "oslo", share: oslo },
     { region: "bergen", share: bergen },
@@ -69,23 +72,23 @@
   return OBJECTS.map((object) => rankRegions(shares, object));
 }
 
-test("objects are dealt to regions by their shares", () => {
-  const first = dealObjects(0.5, 0.3, 0.2).map(([region]) => region);
+test("objects are assigned to regions in proportion to the shares", () => {
+  const first = rankObjects(0.5, 0.3, 0.2).map(([region]) => region);
   const countOf = (name: string) =>
     first.filter((region) => region === name).length / OBJECTS.length;
   assert.ok(Math.abs(countOf("oslo") - 0.5) < 0.02);
   assert.ok(Math.abs(countOf("bergen") - 0.3) < 0.02);
 });
 
-test("a region without a share comes after all that have one", () => {
-  for (const regions of dealObjects(0, 0.5, 0.5)) {
+test("a region without a share ranks behind all that have one", () => {
+  for (const regions of rankObjects(0, 0.5, 0.5)) {
     assert.is(regions[2], "oslo");
   }
 });
 
-test("a change of shares moves no objects between others", () => {
-  const before = dealObjects(0.5, 0.3, 0.2);
-  const after = dealObjects(0.6, 0.24, 0.16);
+test("raising one share moves objects only to that region", () => {
+  const before = rankObjects(0.5, 0.3, 0.2);
+  const after = rankObjects(0.6, 0.24, 0.16);
   const moved = OBJECTS.map((_, index) => index)
     .filter((index) => before[index][0] !== after[index][0]);
   assert.ok(moved.length > 0.08 * OBJECTS.length);
@@ -93,7 +96,7 @@
   assert.ok(moved.every((index) => after[index][0] === "oslo"));
 });
 
-test("a step moves no more than it may", () => {
+test("a step moves no more than its maximum", () => {
   const current = [{ region: "a", share: 1 }];
   const target = [{ region: "b", share: 1 }];
   const next = stepShares(current, target, 0.1);
@@ -111,21 +114,21 @@
   });
 }
 
-test("a region that lost its servers gets nothing half a second later", () => {
+test("a region that lost its servers has no share half a second later", () => {
   const clock = createFakeClock();
-  let figures = NORDVERN;
-  const plan = startPlan(clock, () => figures);
+  let stats = NORDVERN;
+  const plan = startPlan(clock, () => stats);
   plan.getShares("s", []);
-  figures = NORDVERN.map((region) =>
+  stats = NORDVERN.map((region) =>
     region.region === "oslo" ? { ...region, slots: 0 } : region
   );
   clock.advance(500);
   const shares = plan.getShares("s", []);
-  assert.is(shareOf(shares, "oslo"), 0);
-  assert.ok(shareOf(shares, "trondheim") > shareOf(shares, "bergen"));
+  assert.is(findShare(shares, "oslo"), 0);
+  assert.ok(findShare(shares, "trondheim") > findShare(shares, "bergen"));
 });
 
-test("a loss elsewhere calls no more home than its servers served", () => {
+test("after a loss in another region only the lost servers' requests move back", () => {
   const clock = createFakeClock();
   const bergen = { region: "bergen", slots: 16, demand: 60 };
   let oslo = { region: "oslo", slots: 48, demand: 60 };
@@ -137,15 +140,15 @@
     getRequestsPerS: () => 100,
     maxShift: 0.15,
   });
-  const before = shareOf(plan.getShares("s", []), "oslo");
+  const before = findShare(plan.getShares("s", []), "oslo");
   oslo = { ...oslo, slots: 12 };
   clock.advance(250);
-  const after = shareOf(plan.getShares("s", []), "oslo");
+  const after = findShare(plan.getShares("s", []), "oslo");
   assert.ok(before - after > 0.01, `${before} -> ${after}`);
   assert.ok(before - after <= before * 0.75 + 1e-9, `${before} -> ${after}`);
 });
 
-test("servers that lapse one by one count as lost together", () => {
+test("servers that expire one by one are counted as one loss", () => {
   const clock = createFakeClock();
   let slots = 48;
   const plan = startPlan(
@@ -161,10 +164,10 @@
     plan.getShares("s", []);
   }
   clock.advance(250);
-  assert.ok(shareOf(plan.getShares("s", []), "oslo") < 1e-9);
+  assert.ok(findShare(plan.getShares("s", []), "oslo") < 1e-9);
 });
 
-test("shares move faster where many requests make chance small", () => {
+test("shares move faster when many requests reduce the sampling noise", () => {
   const moved = [50, 400].map((requestsPerS) => {
     const clock = createFakeClock();
     let demand = 86;
@@ -182,19 +185,19 @@
     plan.getShares("s", []);
     demand = 800;
     clock.advance(250);
-    return 1 - shareOf(plan.getShares("s", []), "oslo");
+    return 1 - findShare(plan.getShares("s", []), "oslo");
   });
   assert.ok(Math.abs(moved[0] - 0.045 / 8) < 1e-9);
   assert.ok(Math.abs(moved[1] - 0.0875 / 8) < 1e-3, `${moved[1]}`);
 });
 
-test("shares follow a shift of demand by less than the cap in any 2 s", () => {
+test("shares follow a shift of demand within the maximum shift in any 2 s", () => {
   const clock = createFakeClock();
-  let figures = NORDVERN;
+  let stats = NORDVERN;
   const maxShift = 0.15;
-  const plan = startPlan(clock, () => figures);
+  const plan = startPlan(clock, () => stats);
   const history = [plan.getShares("s", [])];
-  figures = NORDVERN.map((region) =>
+  stats = NORDVERN.map((region) =>
     region.region === "oslo" ? { ...region, demand: 500 } : region
   );
   for (let stepMs = 0; stepMs < 20_000; stepMs += 50) {
@@ -203,8 +206,8 @@
     const before = history[Math.max(0, history.length - 41)];
     assert.ok(computeMovedShare(before, history.at(-1)!) < maxShift / 2);
   }
-  const target = shareOf(computeShares("oslo", figures), "oslo");
-  assert.ok(Math.abs(shareOf(history.at(-1)!, "oslo") - target) < 0.04);
+  const target = findShare(computeShares("oslo", stats), "oslo");
+  assert.ok(Math.abs(findShare(history.at(-1)!, "oslo") - target) < 0.04);
   assert.ok(target < 0.95);
 });
 
--- a/src/placement/ranking.ts
+++ b/src/placement/ranking.ts
@@ -1,17 +1,17 @@
 /**
- * Order of preference of a service's backend servers for one object: the same
- * on every VM, from the list of servers alone.
+ * Ranks a service's backend servers for an object. The order depends on the
+ * list of servers alone, so it is the same on every VM.
  *
  * @module
  */
 import { hashToUint32, mixToUnit } from "../runtime/hash.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
 
-/** Orders servers for objects. */
+/** Ranks servers for objects. */
 export interface Ranking {
   /**
-   * @param service The service.
-   * @param region The region whose servers are wanted.
+   * @param service The name of the service.
+   * @param region The region whose servers are ranked.
    * @param objectKey The object that the request concerns.
    * @returns The region's usable servers, best first.
    */
@@ -22,57 +22,58 @@
   ): readonly KnownServer[];
 }
 
-/** A server with the hash of its name, which doesn't change. */
+/** A server and the hash of its registered name. */
 interface HashedServer {
   server: KnownServer;
   hash: number;
 }
 
-/** Orders kept; an order takes about 100 bytes and a server 8 more. */
+/** Cached orders; each takes about 100 bytes and 8 more per server. */
 const MAX_CACHED_ORDERS = 20_000;
 
 /**
- * @param registry The servers.
- * @returns Their ranking, worked out once for each object and list of servers.
+ * @param registry The servers to rank.
+ * @returns A ranking that caches orders until the list of servers changes.
  */
 export function createRanking(registry: ServerRegistry): Ranking {
   let revision = -1;
   const orders = new Map<string, KnownServer[]>();
-  const hashed = new Map<string, HashedServer[]>();
+  const hashedServers = new Map<string, HashedServer[]>();
 
-  function forgetOutdated(): void {
+  /** Clears the caches if the list of servers changed or they are full. */
+  function clearOutdated(): void {
     const isOutdated = revision !== registry.getRevision();
     if (!isOutdated && orders.size < MAX_CACHED_ORDERS) return;
     orders.clear();
-    hashed.clear();
+    hashedServers.clear();
     revision = registry.getRevision();
   }
 
-  function listRegion(service: string, region: string): HashedServer[] {
-    const key = `${service} ${region}`;
-    const known = hashed.get(key);
-    if (known !== undefined) return known;
+  function listServers(service: string, region: string): HashedServer[] {
+    const cacheKey = `${service} ${region}`;
+    const cached = hashedServers.get(cacheKey);
+    if (cached !== undefined) return cached;
     const servers = registry.listUsable(service)
       .filter((server) => server.region === region)
       .map((server) => ({
         server,
         hash: hashToUint32(server.listed.registeredName),
       }));
-    hashed.set(key, servers);
+    hashedServers.set(cacheKey, servers);
     return servers;
   }
 
   return {
     rank(service, region, objectKey) {
-      forgetOutdated();
+      clearOutdated();
       const cacheKey = `${service} ${region} ${objectKey}`;
       const cached = orders.get(cacheKey);
       if (cached !== undefined) return cached;
       const objectHash = hashToUint32(objectKey);
-      const order = listRegion(service, region)
+      const order = listServers(service, region)
         .map(({ server, hash }) => ({
           server,
-          score: scoreOf(server, mixToUnit(hash, objectHash)),
+          score: computeScore(server, mixToUnit(hash, objectHash)),
         }))
         .sort((a, b) => b.score - a.score)
         .map(({ server }) => server);
@@ -84,9 +85,9 @@
 
 /**
  * Weighted rendezvous hashing by slots (Schindelhauer and Schomaker, "Weighted
- * distributed hash tables", 2005): a server that comes or goes moves only its
- * own objects, and one that starts again under its name keeps them.
+ * distributed hash tables", 2005): a server that joins or leaves moves only its
+ * own objects, and one that restarts under the same name keeps them.
  */
-function scoreOf({ listed }: KnownServer, unit: number): number {
+function computeScore({ listed }: KnownServer, unit: number): number {
   return -listed.slots / Math.log(unit);
 }
--- a/src/placement/ranking_test.ts
+++ b/src/placement/ranking_test.ts
@@ -9,7 +9,7 @@
 import { createRanking } from "./ranking.ts";
 import { makeVersion } from "../news/version.ts";
 
-/** Servers named one after the other, some with twice the slots. */
+/** Servers with numbered ids, some with twice the slots. */
 function startRanking(count: number, slotsOf: (index: number) => number) {
   const registry = makeRegistry(createFakeClock());
   for (let index = 0; index < count; index++) {
@@ -31,7 +31,7 @@
   return counts;
 }
 
-test("servers get objects by their slots, up to chance", () => {
+test("servers get objects in proportion to their slots, within five deviations", () => {
   const { listFirst } = startRanking(40, (index) => index < 20 ? 4 : 8);
   const counts = countBy(listFirst(60_000));
   for (const [id, count] of counts) {
@@ -41,7 +41,7 @@
   assert.is(counts.size, 40);
 });
 
-test("a server that goes moves only its own objects, to all others", () => {
+test("removing a server moves only its own objects, to all others", () => {
   const { registry, listFirst } = startRanking(20, () => 4);
   const before = listFirst(4_000);
   registry.apply({
--- a/src/placement/region_stats.ts
+++ b/src/placement/region_stats.ts
@@ -1,6 +1,6 @@
 /**
- * Slots and demand of every region, from the list of servers and the reports of
- * VMs.
+ * Slots and demand of each region, from the registered servers and the reports
+ * of VMs.
  *
  * @module
  */
@@ -12,9 +12,10 @@
 import type { RegionStats } from "./shares.ts";
 
 /**
- * What figures are made from. Slots of cold servers count: a server stays cold
- * for 3 s, and shares that moved away from it took 20 s to come back. Servers
- * that can't be reached don't: the register lists them for another 4.5 s.
+ * Dependencies of the stats reader. Slots of cold servers are counted: a server
+ * stays cold for 3 s, but shares that moved away from it took 20 s to move back.
+ * Slots of unreachable servers are not: the registry lists them for another
+ * 4.5 s.
  */
 export interface RegionStatsOptions {
   ownRegion: string;
@@ -23,63 +24,77 @@
   registry: ServerRegistry;
   table: MemberTable;
   demandSmoother: DemandSmoother;
-  /** Slots that a server can be used with. */
+  /** Usable slots of a server. */
   getSlots: (server: ListedServer) => number;
-  /** Requests a second that this VM's clients make, by service. */
+  /** Requests per second from this VM's clients, by service. */
   getOwnDemand: () => Record<string, number>;
-  /** Demand by region where hubs tell of it; this VM's own is part of it. */
+  /**
+   * Demand by region, this VM's included, if hubs report it; undefined
+   * otherwise.
+   */
   getFleetDemand: () => DemandByRegion | undefined;
 }
 
 /**
- * Demand that every region is taken to have besides what was measured, in
- * requests a second: figures of the first seconds don't swing the shares.
+ * Requests per second added to the measured demand of each region, so that the
+ * first few requests after a start don't swing the shares.
  */
 const PRIOR_DEMAND_PER_S = 10;
 
-interface VmDemand {
+/** Demand of one VM's clients, or of a whole region. */
+interface ReportedDemand {
   region: string;
+  /** Requests per second by service. */
   demandPerS: Record<string, number>;
 }
 
-/** Works figures out. */
+/** Reads the current stats. */
 export interface RegionStatsReader {
-  /** @returns Figures of every region for one service. */
+  /**
+   * @param service The name of the service.
+   * @returns Slots and smoothed demand of each region for the service.
+   */
   read(service: string): RegionStats[];
-  /** @returns Requests a second from the own region's callers. */
+  /**
+   * @returns Requests per second from callers of this VM's region, for all
+   *   services.
+   */
   getRequestsPerS(): number;
 }
 
 /**
- * @param parts What figures are made from.
- * @returns A reader of figures.
+ * @param options The reader's dependencies.
+ * @returns A reader of region stats.
  */
 export function createRegionStatsReader(
-  parts: RegionStatsOptions,
+  options: RegionStatsOptions,
 ): RegionStatsReader {
-  const { registry, table, demandSmoother: trend } = parts;
+  const { registry, table, demandSmoother } = options;
 
   function addSlots(
-    figures: Map<string, RegionStats>,
+    statsByRegion: Map<string, RegionStats>,
     service: string,
   ): void {
     for (const server of registry.listUsable(service)) {
-      const region = figures.get(server.region);
-      if (region === undefined || server.health.isDown()) continue;
-      region.slots += parts.getSlots(server.listed);
+      const stats = statsByRegion.get(server.region);
+      if (stats === undefined || server.health.isDown()) continue;
+      stats.slots += options.getSlots(server.listed);
     }
   }
 
-  /** @returns What clients ask for, by VM or summed up by region. */
-  function listDemands(): VmDemand[] {
-    const told = parts.getFleetDemand();
-    if (told !== undefined) {
-      return Object.entries(told).map(([region, demandPerS]) => ({
+  /** @returns Demand by region if hubs report it, by VM otherwise. */
+  function listDemands(): ReportedDemand[] {
+    const fleetDemand = options.getFleetDemand();
+    if (fleetDemand !== undefined) {
+      return Object.entries(fleetDemand).map(([region, demandPerS]) => ({
         region,
         demandPerS,
       }));
     }
-    const own = { region: parts.ownRegion, demandPerS: parts.getOwnDemand() };
+    const own = {
+      region: options.ownRegion,
+      demandPerS: options.getOwnDemand(),
+    };
     const others = table.listAlive().map(({ identity, report }) => ({
       region: identity.region,
       demandPerS: report?.demandPerS ?? {},
@@ -88,43 +103,47 @@
   }
 
   function addDemand(
-    figures: Map<string, RegionStats>,
+    statsByRegion: Map<string, RegionStats>,
     service: string,
   ): void {
     for (const { region, demandPerS } of listDemands()) {
-      const figure = figures.get(region);
-      if (figure !== undefined) figure.demand += demandPerS[service] ?? 0;
+      const stats = statsByRegion.get(region);
+      if (stats !== undefined) stats.demand += demandPerS[service] ?? 0;
     }
   }
 
-  /** Shares move too slowly to follow each wave of demand. */
-  function planDemand(
-    figures: Map<string, RegionStats>,
+  /** Replaces measured demand: shares move too slowly to follow its waves. */
+  function smoothDemand(
+    statsByRegion: Map<string, RegionStats>,
     service: string,
   ): void {
     const measured = new Map(
-      [...figures].map(([region, { demand }]) => [region, demand]),
+      [...statsByRegion].map(([region, { demand }]) => [region, demand]),
     );
-    for (const [region, demand] of trend.smooth(service, measured)) {
-      const figure = figures.get(region);
-      if (figure !== undefined) figure.demand = demand;
+    for (const [region, demand] of demandSmoother.smooth(service, measured)) {
+      const stats = statsByRegion.get(region);
+      if (stats !== undefined) stats.demand = demand;
     }
   }
 
   function read(service: string): RegionStats[] {
-    const figures = new Map<string, RegionStats>();
-    for (const region of parts.regions.values()) {
-      figures.set(region, { region, slots: 0, demand: PRIOR_DEMAND_PER_S });
+    const statsByRegion = new Map<string, RegionStats>();
+    for (const region of options.regions.values()) {
+      statsByRegion.set(region, {
+        region,
+        slots: 0,
+        demand: PRIOR_DEMAND_PER_S,
+      });
     }
-    addSlots(figures, service);
-    addDemand(figures, service);
-    planDemand(figures, service);
-    return [...figures.values()];
+    addSlots(statsByRegion, service);
+    addDemand(statsByRegion, service);
+    smoothDemand(statsByRegion, service);
+    return [...statsByRegion.values()];
   }
 
   function getRequestsPerS(): number {
     return listDemands()
-      .filter(({ region }) => region === parts.ownRegion)
+      .filter(({ region }) => region === options.ownRegion)
       .flatMap(({ demandPerS }) => Object.values(demandPerS))
       .reduce((total, ratePerS) => total + ratePerS, 0);
   }
--- a/src/placement/region_stats_test.ts
+++ b/src/placement/region_stats_test.ts
@@ -16,7 +16,7 @@
 
 const DIGEST = { facts: 0, versionSum: 0 };
 
-function startFigures(changes: Partial<RegionStatsOptions> = {}) {
+function startReader(changes: Partial<RegionStatsOptions> = {}) {
   const clock = createFakeClock();
   const table = createMemberTable("self", clock);
   const registry = makeRegistry(clock);
@@ -36,14 +36,14 @@
   return { table, registry, reader, getSlots };
 }
 
-test("a server counts with the slots that it can be used with", () => {
-  const { registry, getSlots } = startFigures({ getSlots: () => 0.5 });
+test("the usable slots of a server are counted", () => {
+  const { registry, getSlots } = startReader({ getSlots: () => 0.5 });
   registry.apply(makeServerNews(makeServer("1"), 1));
   assert.is(getSlots(), 0.5);
 });
 
-test("slots of cold servers count, those of unreachable ones don't", () => {
-  const { registry, getSlots } = startFigures();
+test("slots of cold servers are counted, those of unreachable ones aren't", () => {
+  const { registry, getSlots } = startReader();
   registry.apply(makeServerNews(makeServer("1"), 1));
   registry.apply(makeServerNews(makeServer("2", { coldLeftMs: 3_000 }), 2));
   assert.is(getSlots(), 8);
@@ -56,8 +56,8 @@
   assert.is(getSlots(), 8);
 });
 
-test("requests of the region are counted over its VMs and services", () => {
-  const { table, reader } = startFigures();
+test("requests per second are summed over the VMs and services of the region", () => {
+  const { table, reader } = startReader();
   for (const [id, region] of [["near", "oslo"], ["far", "bergen"]]) {
     table.noteHello({
       id,
--- a/src/placement/regions.ts
+++ b/src/placement/regions.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the shares by which this VM's callers are spread over regions, and
+ * Maintains the shares by which this VM's callers are spread over regions, and
  * moves them slowly when demand or servers change.
  *
  * @module
@@ -18,131 +18,148 @@
 /** The shares in force, by service and allowed regions. */
 export interface RegionPlan {
   /**
-   * @param service The service.
+   * Returns the current shares, moved towards their target if an update is due.
+   *
+   * @param service The name of the service.
    * @param allowed Regions that may serve the request; empty for all.
-   * @returns Shares of the own region's callers.
+   * @returns Shares of the requests from callers of this VM's region.
    */
   getShares(service: string, allowed: readonly string[]): RegionShare[];
 }
 
-/** What a plan needs. */
+/** Dependencies and settings of a region plan. */
 export interface RegionPlanOptions {
   clock: Clock;
   log: Log;
   ownRegion: string;
-  /** Slots and demand of every region, for one service. */
+  /** Slots and demand of each region, for one service. */
   getStats: (service: string) => RegionStats[];
-  /** Requests a second from the own region's callers, for all services. */
+  /** Requests per second from callers of the own region, for all services. */
   getRequestsPerS: () => number;
-  /** Largest share that may change region from one 2 s window to the next. */
+  /**
+   * Maximum share of the requests that may change region from one window of 2 s
+   * to the next.
+   */
   maxShift: number;
 }
 
-/** Window in which a shift is counted. */
+/** Length of the windows between which a shift is measured. */
 const SHIFT_WINDOW_MS = 2_000;
-/** How often a plan is brought up to date. */
-const STEP_MS = 250;
+/** Minimum time between two updates of the shares. */
+const UPDATE_INTERVAL_MS = 250;
+/**
+ * Standard deviations of sampling noise subtracted from the maximum shift.
+ * Requests arrive at random, so a share of 0.5 differs between windows even if
+ * it is not moved: by 0.05 with 200 requests, by 0.03 with 700.
+ */
+const NOISE_MARGIN_DEVIATIONS = 2.5;
+/** Bounds on the planned shift, as a share of the maximum shift. */
+const MIN_PLANNED_SHARE = 0.3;
+const MAX_PLANNED_SHARE = 0.6;
+/** Smaller differences from the target are ignored: stats vary at random. */
+const MIN_MOVED_SHARE = 0.03;
 /**
- * Requests arrive by chance, so a share of a half swings from window to window
- * without being moved: by 0.05 for 200 requests, by 0.03 for 700. What is
- * planned leaves room for this many such swings.
+ * A region that has less than this share of its recent slots has lost servers,
+ * and the requests that they served move at once. Moved at the usual pace, they
+ * would overload the remaining servers for ten seconds. No more than these
+ * requests move at once, because they can only move back at the usual pace.
  */
-const CHANCE_SWINGS = 2.5;
-/** Least and largest part of the allowed shift that is planned. */
-const MIN_PLANNED_PART = 0.3;
-const MAX_PLANNED_PART = 0.6;
-/** Target moves below this are not followed; figures swing by chance. */
-const MIN_MOVE = 0.03;
+const REMAINING_SLOTS_SHARE = 0.75;
+/** Minimum moved share that is logged. */
+const MIN_LOGGED_SHARE = 0.05;
 /**
- * A region that has less than this part of the slots that it had not long ago
- * has lost servers: what they served goes elsewhere at once. At the usual pace
- * the servers that are left would be overwhelmed for ten seconds. No more than
- * that moves at once, since the way back is paced.
+ * Time over which losses of slots accumulate: the servers of a failed domain
+ * expire one by one.
  */
-const LOST_SLOTS_PART = 0.75;
-/** Shares that moved by this much are told of in a log line. */
-const LOGGED_MOVE = 0.05;
-/** Time in which losses add up: servers of a lost domain lapse one by one. */
 const LOSS_WINDOW_MS = 2_000;
 
-interface Entry {
+/** Shares of one service and set of allowed regions. */
+interface PlanState {
   shares: RegionShare[];
-  steppedAtMs: number;
-  /** Most slots that each region had not long ago. */
-  slots: Map<string, SeenSlots>;
-  /** The shares that were last told of in a log line. */
-  logged: RegionShare[];
+  updatedAtMs: number;
+  /** Peak number of slots within the loss window, by region. */
+  peakSlots: Map<string, PeakSlots>;
+  /** The shares that were last logged. */
+  loggedShares: RegionShare[];
 }
 
-interface SeenSlots {
+interface PeakSlots {
   slots: number;
   atMs: number;
 }
 
 /**
- * @param parts What the plan needs.
- * @returns A plan that starts at the shares that today's figures ask for.
+ * @param options The plan's dependencies and settings.
+ * @returns A plan whose first shares are those computed from the current stats.
  */
-export function createRegionPlan(parts: RegionPlanOptions): RegionPlan {
-  const { clock, log, ownRegion, maxShift } = parts;
-  const entries = new Map<string, Entry>();
+export function createRegionPlan(options: RegionPlanOptions): RegionPlan {
+  const { clock, log, ownRegion, maxShift } = options;
+  const states = new Map<string, PlanState>();
 
-  function listFigures(service: string, allowed: readonly string[]) {
-    return parts.getStats(service).filter((region) =>
+  function listStats(service: string, allowed: readonly string[]) {
+    return options.getStats(service).filter((region) =>
       allowed.length === 0 || allowed.includes(region.region)
     );
   }
 
-  /** @returns Part of the requests whose servers were lost. */
-  function takeLoss(entry: Entry, figures: readonly RegionStats[]): number {
+  /**
+   * Updates the peak slots and detects losses.
+   *
+   * @returns Share of the requests whose servers were lost since the last call.
+   */
+  function detectLoss(state: PlanState, stats: readonly RegionStats[]): number {
     const nowMs = clock.monotonicMs();
     let loss = 0;
-    for (const { region, slots } of figures) {
-      const seen = entry.slots.get(region) ?? { slots, atMs: nowMs };
-      const isLost = slots < LOST_SLOTS_PART * seen.slots;
+    for (const { region, slots } of stats) {
+      const peak = state.peakSlots.get(region) ?? { slots, atMs: nowMs };
+      const isLost = slots < REMAINING_SLOTS_SHARE * peak.slots;
       if (isLost) {
-        loss += getShare(entry.shares, region) * (1 - slots / seen.slots);
+        loss += getShare(state.shares, region) * (1 - slots / peak.slots);
       }
-      const isOutdated = nowMs - seen.atMs > LOSS_WINDOW_MS;
-      if (isLost || isOutdated || slots >= seen.slots) {
-        entry.slots.set(region, { slots, atMs: nowMs });
+      const isOutdated = nowMs - peak.atMs > LOSS_WINDOW_MS;
+      if (isLost || isOutdated || slots >= peak.slots) {
+        state.peakSlots.set(region, { slots, atMs: nowMs });
       }
     }
     return loss;
   }
 
-  /** @returns Largest part that may be moved by plan after a time. */
+  /** @returns Maximum share of the requests to move after a time. */
   function getMaxStep(elapsedMs: number): number {
-    const requestsPerS = Math.max(1, parts.getRequestsPerS());
+    const requestsPerS = Math.max(1, options.getRequestsPerS());
     const requestsInWindow = requestsPerS * SHIFT_WINDOW_MS / 1_000;
-    // Standard deviation of the change of a share of a half.
-    const swing = Math.sqrt(0.5 / requestsInWindow);
+    // Standard deviation of the difference of a share of 0.5 between windows.
+    const deviation = Math.sqrt(0.5 / requestsInWindow);
     const planned = Math.min(
-      MAX_PLANNED_PART * maxShift,
-      Math.max(MIN_PLANNED_PART * maxShift, maxShift - CHANCE_SWINGS * swing),
+      MAX_PLANNED_SHARE * maxShift,
+      Math.max(
+        MIN_PLANNED_SHARE * maxShift,
+        maxShift - NOISE_MARGIN_DEVIATIONS * deviation,
+      ),
     );
-    return planned * Math.min(2 * STEP_MS, elapsedMs) / SHIFT_WINDOW_MS;
+    return planned * Math.min(2 * UPDATE_INTERVAL_MS, elapsedMs) /
+      SHIFT_WINDOW_MS;
   }
 
-  function step(
+  function updateShares(
     service: string,
-    entry: Entry,
-    figures: readonly RegionStats[],
+    state: PlanState,
+    stats: readonly RegionStats[],
     elapsedMs: number,
   ): void {
-    const target = computeShares(ownRegion, figures);
-    const loss = takeLoss(entry, figures);
-    const distance = computeMovedShare(entry.shares, target);
-    entry.steppedAtMs = clock.monotonicMs();
-    if (target.length === 0 || distance < MIN_MOVE) return;
-    const limit = Math.max(loss, getMaxStep(elapsedMs));
-    entry.shares = stepShares(entry.shares, target, limit);
-    const moved = computeMovedShare(entry.logged, entry.shares);
-    if (loss === 0 && moved < LOGGED_MOVE) return;
-    entry.logged = entry.shares;
-    const { shares } = entry;
+    const target = computeShares(ownRegion, stats);
+    const loss = detectLoss(state, stats);
+    const distance = computeMovedShare(state.shares, target);
+    state.updatedAtMs = clock.monotonicMs();
+    if (target.length === 0 || distance < MIN_MOVED_SHARE) return;
+    const maxStep = Math.max(loss, getMaxStep(elapsedMs));
+    state.shares = stepShares(state.shares, target, maxStep);
+    const moved = computeMovedShare(state.loggedShares, state.shares);
+    if (loss === 0 && moved < MIN_LOGGED_SHARE) return;
+    state.loggedShares = state.shares;
+    const { shares } = state;
     log.info(
-      { service, figures, target, loss, moved, shares },
+      { service, figures: stats, target, loss, moved, shares },
       "region shares moved",
     );
   }
@@ -150,28 +167,28 @@
   return {
     getShares(service, allowed) {
       const key = `${service} ${allowed.join(",")}`;
-      const entry = entries.get(key);
+      const state = states.get(key);
       const nowMs = clock.monotonicMs();
-      if (entry === undefined || entry.shares.length === 0) {
-        const figures = listFigures(service, allowed);
-        const shares = computeShares(ownRegion, figures);
-        const slots = new Map(
-          figures.map(({ region, slots }) => [region, { slots, atMs: nowMs }]),
+      if (state === undefined || state.shares.length === 0) {
+        const stats = listStats(service, allowed);
+        const shares = computeShares(ownRegion, stats);
+        const peakSlots = new Map(
+          stats.map(({ region, slots }) => [region, { slots, atMs: nowMs }]),
         );
-        entries.set(key, {
+        states.set(key, {
           shares,
-          steppedAtMs: nowMs,
-          slots,
-          logged: shares,
+          updatedAtMs: nowMs,
+          peakSlots,
+          loggedShares: shares,
         });
         log.info({ service, allowed, shares }, "region shares");
         return shares;
       }
-      const elapsedMs = nowMs - entry.steppedAtMs;
-      if (elapsedMs >= STEP_MS) {
-        step(service, entry, listFigures(service, allowed), elapsedMs);
+      const elapsedMs = nowMs - state.updatedAtMs;
+      if (elapsedMs >= UPDATE_INTERVAL_MS) {
+        updateShares(service, state, listStats(service, allowed), elapsedMs);
       }
-      return entry.shares;
+      return state.shares;
     },
   };
 }
--- a/src/placement/shares.ts
+++ b/src/placement/shares.ts
@@ -1,86 +1,97 @@
 /**
- * In which region requests run: a share of each region's objects, by hash.
+ * Computes in which regions requests run. Each region's objects are divided
+ * among regions by hash, in proportion to shares.
  *
- * Load pattern: a third of the callers are near a sixth of the slots. Sending
- * what finds its region full elsewhere scatters objects over servers that
- * don't know them; moving always the same objects keeps them warm where they
- * run.
+ * Load pattern: a third of the callers are near a sixth of the slots. If only
+ * requests that find their region saturated were sent elsewhere, objects would
+ * scatter over servers that have not cached them. Moving the same objects each
+ * time keeps them cached where they run.
  *
  * @module
  */
 
 import { rankByRendezvous } from "../runtime/hash.ts";
 
-/** What a region can do and has to do for one service. */
+/** Slots and demand of one region for one service. */
 export interface RegionStats {
   region: string;
-  /** Slots of its servers that can be reached. */
+  /** Slots of the region's reachable servers. */
   slots: number;
-  /** Demand of its callers; any unit, the same for all. */
+  /** Demand of the region's callers, in any unit that is the same for all. */
   demand: number;
 }
 
-/** Where the objects of one region's callers run. */
+/** Share of one region's objects that run in a region. */
 export interface RegionShare {
   region: string;
-  /** Part of the objects, all parts adding up to 1. */
+  /** Share of the objects; all shares add up to 1. */
   share: number;
 }
 
 /**
- * Works out where the callers of one region are served: every region at the
- * same use of its slots. Keeping 1.15 times as much at home, to save round
- * trips, put 1.8 instead of 1.5 times the mean load on the smallest of three
- * regions at the crest of its callers' demand.
+ * Computes where requests from callers of one region run, so that all regions
+ * have the same utilization. Keeping 1.15 times as many local, to save round
+ * trips, raised the load on the smallest of three regions from 1.5 to 1.8 times
+ * the mean when its callers' demand peaked.
  *
  * @param from The callers' region.
- * @param figures All regions that may serve them.
- * @returns Shares by region, the callers' own first if it may serve; empty where
- *   no region has slots.
+ * @param stats Stats of all regions that may serve the requests.
+ * @returns Shares by region, the callers' own first if it may serve; empty if no
+ *   region has slots.
  */
 export function computeShares(
   from: string,
-  figures: readonly RegionStats[],
+  stats: readonly RegionStats[],
 ): RegionShare[] {
-  const totalSlots = sum(figures.map((region) => region.slots));
-  const totalDemand = sum(figures.map((region) => region.demand));
+  const totalSlots = sum(stats.map((region) => region.slots));
+  const totalDemand = sum(stats.map((region) => region.demand));
   if (totalSlots <= 0) return [];
-  const use = totalDemand / totalSlots;
+  const utilization = totalDemand / totalSlots;
 
-  function getKept({ slots, demand }: RegionStats): number {
-    if (demand <= 0 || use <= 0) return slots > 0 ? 1 : 0;
-    return Math.min(1, use * slots / demand);
+  /** Share of a region's demand that its own slots can take. */
+  function getLocalShare({ slots, demand }: RegionStats): number {
+    if (demand <= 0 || utilization <= 0) return slots > 0 ? 1 : 0;
+    return Math.min(1, utilization * slots / demand);
   }
 
   function getOwnShare(region: RegionStats): number {
-    return totalRoom > 0 ? getKept(region) : 1;
+    return totalCapacity > 0 ? getLocalShare(region) : 1;
   }
 
-  const own = figures.find((region) => region.region === from);
-  const others = figures.filter((region) => region !== own);
-  const spare = others.map((region) =>
+  const own = stats.find((region) => region.region === from);
+  const others = stats.filter((region) => region !== own);
+  const spareSlots = others.map((region) =>
     Math.max(
       0,
-      region.slots - (use > 0 ? getKept(region) * region.demand / use : 0),
+      region.slots - (utilization > 0
+        ? getLocalShare(region) * region.demand / utilization
+        : 0),
     )
   );
-  const room = sum(spare) > 0 ? spare : others.map(({ slots }) => slots);
-  const totalRoom = sum(room);
-  const kept = own === undefined ? 0 : getOwnShare(own);
-  const away = others.map(({ region }, index) => ({
+  // Without spare slots, requests are divided by the total slots.
+  const capacities = sum(spareSlots) > 0
+    ? spareSlots
+    : others.map(({ slots }) => slots);
+  const totalCapacity = sum(capacities);
+  const ownShare = own === undefined ? 0 : getOwnShare(own);
+  const otherShares = others.map(({ region }, index) => ({
     region,
-    share: totalRoom > 0 ? (1 - kept) * room[index] / totalRoom : 0,
+    share: totalCapacity > 0
+      ? (1 - ownShare) * capacities[index] / totalCapacity
+      : 0,
   }));
-  // A region that is not among the figures may not serve, whatever happens.
-  return own === undefined ? away : [{ region: from, share: kept }, ...away];
+  // A region without stats is not allowed to serve, so it must get no entry.
+  return own === undefined
+    ? otherShares
+    : [{ region: from, share: ownShare }, ...otherShares];
 }
 
 /**
- * Moves shares towards their target, by no more than a step.
+ * Moves shares towards their target by a limited step.
  *
  * @param current Shares in force.
- * @param target Shares wanted.
- * @param maxStep Largest part of the requests that may change region.
+ * @param target Shares to be reached.
+ * @param maxStep Maximum share of the requests that may change region.
  * @returns The shares to use next.
  */
 export function stepShares(
@@ -90,45 +101,47 @@
 ): RegionShare[] {
   const distance = computeMovedShare(current, target);
   if (distance <= maxStep) return [...target];
-  const part = maxStep / distance;
+  const fraction = maxStep / distance;
   const regions = new Set(
     [...target, ...current].map((share) => share.region),
   );
   return [...regions].map((region) => {
     const before = getShare(current, region);
     const after = getShare(target, region);
-    return { region, share: before + (after - before) * part };
+    return { region, share: before + (after - before) * fraction };
   });
 }
 
 /**
- * @param a Shares.
- * @param b Other shares.
- * @returns Part of the requests that run in another region by `b` than by `a`.
+ * @param before Shares by region.
+ * @param after Other shares by region.
+ * @returns Share of the requests that run in another region by `after` than by
+ *   `before`.
  */
 export function computeMovedShare(
-  a: readonly RegionShare[],
-  b: readonly RegionShare[],
+  before: readonly RegionShare[],
+  after: readonly RegionShare[],
 ): number {
-  const regions = new Set([...a, ...b].map((share) => share.region));
+  const regions = new Set([...before, ...after].map((share) => share.region));
   const gains = [...regions].map((region) =>
-    Math.max(0, getShare(b, region) - getShare(a, region))
+    Math.max(0, getShare(after, region) - getShare(before, region))
   );
   return sum(gains);
 }
 
 /** Ranks regions without a share behind all that have one. */
-const LEAST_WEIGHT = 1e-9;
+const MIN_WEIGHT = 1e-9;
 
 /**
- * Deals an object to a region. A change of shares moves only objects of the
- * regions that lose; with shares laid end to end, a region between two others
- * exchanged objects with both. Credit of three replayed days: 0.862 to 0.873,
- * 0.845 to 0.849, 0.927 to 0.938.
+ * Ranks the regions for an object by weighted rendezvous hashing, so that a
+ * change of shares moves only objects of the regions whose share falls. When
+ * shares were consecutive intervals of the hash range, a region between two
+ * others exchanged objects with both; rendezvous hashing raised the score of
+ * three replayed days from 0.862 to 0.873, 0.845 to 0.849 and 0.927 to 0.938.
  *
  * @param shares Shares by region.
  * @param objectKey The object.
- * @returns Regions in which the object may run, its own first.
+ * @returns Regions in which the object may run, its assigned region first.
  */
 export function rankRegions(
   shares: readonly RegionShare[],
@@ -136,15 +149,15 @@
 ): string[] {
   const candidates = shares.map(({ region, share }) => ({
     id: region,
-    weight: Math.max(share, LEAST_WEIGHT),
+    weight: Math.max(share, MIN_WEIGHT),
   }));
   return rankByRendezvous(objectKey, candidates).map(({ id }) => id);
 }
 
 /**
  * @param shares Shares by region.
- * @param region A region.
- * @returns Its share.
+ * @param region The region to look up.
+ * @returns Its share; 0 if it has none.
  */
 export function getShare(
   shares: readonly RegionShare[],
--- a/src/placement/shedding_test.ts
+++ b/src/placement/shedding_test.ts
@@ -20,23 +20,23 @@
 const RATE_PER_S = 140;
 const DURATION_MS = 9_000;
 const RUN_MS = 80;
-const WAY_MS = 4;
+const REFUSAL_MS = 4;
 const MAX_ATTEMPTS = 2;
 const BACKOFF_MS = 3_000;
 
-interface ReplayFigures {
+interface SimulationResult {
   refusedShare: number;
-  /** Requests that shedding servers got. */
+  /** Number of requests that reached shedding servers. */
   shed: number;
 }
 
 /**
- * Replays a service of which a third of the servers sheds every request.
+ * Simulates a service where a third of the servers shed every request.
  *
- * @param backoffMs What they ask for; undefined where nothing.
- * @returns What callers and those servers saw.
+ * @param backoffMs Backoff that they request; undefined for none.
+ * @returns Share of refused requests, and the number that were shed.
  */
-function replay(backoffMs: number | undefined): ReplayFigures {
+function simulate(backoffMs: number | undefined): SimulationResult {
   const clock = createFakeClock();
   const random = createRandom(20261203);
   const registry = makeRegistry(clock);
@@ -52,9 +52,9 @@
     countKnown: () => 1,
     runTimes: createRunTimes(),
   });
-  const terms = { ratio: 0.2, allowance: 6 };
-  const budget = createRetryBudget(terms, () => 1, "vm-1");
-  let asked = 0;
+  const settings = { ratio: 0.2, allowance: 6 };
+  const budget = createRetryBudget(settings, () => 1, "vm-1");
+  let requestCount = 0;
   let refused = 0;
   let shed = 0;
 
@@ -77,7 +77,7 @@
     const { listed, load } = choice.server;
     const isShedding = Number(listed.id) < SHEDDING;
     load.begin();
-    clock.after(isShedding ? WAY_MS : RUN_MS, () => {
+    clock.after(isShedding ? REFUSAL_MS : RUN_MS, () => {
       load.end();
       if (isShedding && backoffMs !== undefined) {
         backoffs.begin(listed.id, backoffMs);
@@ -85,33 +85,33 @@
       permits.end(listed, isShedding ? "turned_away" : "taken");
       if (!isShedding) return;
       shed++;
-      sendAgain(objectKey, new Set([...tried, listed.id]));
+      retry(objectKey, new Set([...tried, listed.id]));
     });
   }
 
-  function sendAgain(objectKey: string, tried: ReadonlySet<string>): void {
+  function retry(objectKey: string, tried: ReadonlySet<string>): void {
     const mayRetry = tried.size < MAX_ATTEMPTS && budget.take("s");
     if (mayRetry) send(objectKey, tried);
     else refused++;
   }
 
   for (let ms = 0; ms < DURATION_MS; ms += 1_000 / RATE_PER_S) {
-    asked++;
+    requestCount++;
     budget.recordRequest("s");
     send(`${Math.floor(random() ** 2 * OBJECTS)}`, new Set());
     clock.advance(1_000 / RATE_PER_S);
   }
-  return { refusedShare: refused / asked, shed };
+  return { refusedShare: refused / requestCount, shed };
 }
 
-test("callers are refused where shedding servers are asked again and again", () => {
-  const { refusedShare, shed } = replay(undefined);
+test("many requests are refused when shedding servers keep receiving requests", () => {
+  const { refusedShare, shed } = simulate(undefined);
   assert.ok(refusedShare > 0.1, `${refusedShare}`);
   assert.ok(shed > 200, `${shed}`);
 });
 
-test("hardly any is where shedding servers are left alone and then probed", () => {
-  const { refusedShare, shed } = replay(BACKOFF_MS);
+test("almost none is refused when shedding servers back off and are then probed", () => {
+  const { refusedShare, shed } = simulate(BACKOFF_MS);
   assert.ok(refusedShare < 0.01, `${refusedShare}`);
   assert.ok(shed <= 2 * SHEDDING * DURATION_MS / BACKOFF_MS, `${shed}`);
 });
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -20,36 +20,36 @@
 const SERVERS = 4;
 const SLOTS = 3;
 const OBJECTS = 120;
-/** Objects that a server remembers. */
-const KEPT = 28;
+/** Objects that a server caches. */
+const CACHE_SIZE = 28;
 const RATE_PER_S = 49;
 const LIMIT_PER_S = 3.5;
-const KNOWN_MS = 62;
-const FIRST_MS = 230;
+const HIT_MS = 62;
+const MISS_MS = 230;
 const ROUTE = makeRoute({ timeoutMs: 1_200, targetLatencyMs: 200 });
 const STEP_MS = 5;
 const LIMITED_AT_MS = 15_000;
 const END_MS = 35_000;
 
 interface ModelServer {
-  known: string[];
+  cachedKeys: string[];
   running: number;
   queue: (() => void)[];
 }
 
 /**
- * Replays a region whose servers remember fewer objects than are asked for, and
- * of which some begin to advertise a rate limit.
+ * Simulates a region whose servers cache fewer objects than are requested, and
+ * some of which start to advertise a rate limit.
  *
- * @param limited Servers with a limit.
- * @returns Requests that were answered within the target, as a share of all.
+ * @param limited Number of servers with a limit.
+ * @returns Share of the requests that are answered within the target latency.
  */
-function replay(limited: number): number {
+function simulate(limited: number): number {
   const clock = createFakeClock();
   const random = createRandom(5);
   const registry = makeRegistry(clock);
   const servers = Array.from({ length: SERVERS }, (): ModelServer => ({
-    known: [],
+    cachedKeys: [],
     running: 0,
     queue: [],
   }));
@@ -58,8 +58,8 @@
     registry.apply(makeServerNews(server, index + 1));
   });
   const ranking = createRanking(registry);
-  const memory = createObjectCacheModel();
-  const retention = createCacheSizeEstimator();
+  const cacheModel = createObjectCacheModel();
+  const cacheSizes = createCacheSizeEstimator();
   const pace = createPaceTable();
   const runTimes = createRunTimes();
   const { permits, rateLimits } = createServerLimits({
@@ -70,7 +70,7 @@
     countKnown: () => 1,
     runTimes,
   });
-  let asked = 0;
+  let requestCount = 0;
   let inTime = 0;
 
   function run(server: ModelServer, objectKey: string, end: () => void): void {
@@ -78,10 +78,10 @@
       return void server.queue.push(() => run(server, objectKey, end));
     }
     server.running++;
-    const isKnown = server.known.includes(objectKey);
-    const others = server.known.filter((key) => key !== objectKey);
-    server.known = [...others, objectKey].slice(-KEPT);
-    const runMs = (isKnown ? KNOWN_MS : FIRST_MS) * (0.85 + 0.3 * random());
+    const isHit = server.cachedKeys.includes(objectKey);
+    const others = server.cachedKeys.filter((key) => key !== objectKey);
+    server.cachedKeys = [...others, objectKey].slice(-CACHE_SIZE);
+    const runMs = (isHit ? HIT_MS : MISS_MS) * (0.85 + 0.3 * random());
     clock.after(runMs, () => {
       server.running--;
       end();
@@ -91,7 +91,7 @@
 
   function send(objectKey: string): void {
     const sentAtMs = clock.monotonicMs();
-    const nameOf = `s ${objectKey}`;
+    const objectName = `s ${objectKey}`;
     const choice = chooseServer(
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
@@ -100,8 +100,8 @@
         maxCacheMissQueue: pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs),
         coldRatePerS: 0,
         hasCachedObject(id) {
-          const depth = memory.getDepth(id, nameOf);
-          return depth !== undefined && depth < retention.getCacheSize("s");
+          const depth = cacheModel.getDepth(id, objectName);
+          return depth !== undefined && depth < cacheSizes.getCacheSize("s");
         },
         isRateLimited: ({ listed }) => permits.isRateLimited(listed),
         takePermit: ({ listed }) => permits.take(listed),
@@ -110,21 +110,21 @@
       clock,
     );
     if (choice.kind !== "server") return;
-    const { server: { listed, load }, utilization: use } = choice;
+    const { server: { listed, load }, utilization } = choice;
     const index = Number(listed.id);
-    const depth = memory.recordRequest(listed.id, nameOf);
+    const depth = cacheModel.recordRequest(listed.id, objectName);
     load.begin();
     run(servers[index], objectKey, () => {
       load.end();
       const nowMs = clock.monotonicMs();
       const tookMs = nowMs - sentAtMs;
-      pace.note(ROUTE, tookMs, use);
+      pace.note(ROUTE, tookMs, utilization);
       runTimes.note("s", tookMs);
-      if (use < 0.8) {
-        const wasKnown = pace.wasKnown(ROUTE, tookMs);
+      if (utilization < 0.8) {
+        const wasCached = pace.wasKnown(ROUTE, tookMs);
         pace.noteRun(ROUTE, depth, tookMs);
-        if (wasKnown !== undefined && depth !== undefined) {
-          retention.record("s", depth, wasKnown);
+        if (wasCached !== undefined && depth !== undefined) {
+          cacheSizes.record("s", depth, wasCached);
         }
       }
       if (index < limited && nowMs >= LIMITED_AT_MS) {
@@ -137,18 +137,18 @@
 
   for (let ms = 0; ms < END_MS; ms += STEP_MS) {
     if (random() < RATE_PER_S * STEP_MS / 1_000) {
-      if (ms >= LIMITED_AT_MS) asked++;
+      if (ms >= LIMITED_AT_MS) requestCount++;
       send(`${Math.floor(random() ** 1.6 * OBJECTS)}`);
     }
     clock.advance(STEP_MS);
   }
-  return inTime / asked;
+  return inTime / requestCount;
 }
 
-test("what spills from limited servers doesn't push out what others know", () => {
-  assert.ok(replay(0) > 0.85, "no limit");
-  assert.ok(replay(1) > 0.65, "one of four limited");
-  assert.ok(replay(2) > 0.4, "two of four limited");
+test("requests that rate-limited servers can't take don't evict other servers' objects", () => {
+  assert.ok(simulate(0) > 0.85, "no limit");
+  assert.ok(simulate(1) > 0.65, "one of four limited");
+  assert.ok(simulate(2) > 0.4, "two of four limited");
 });
 
 test.run();
--- a/src/retries/budget.ts
+++ b/src/retries/budget.ts
@@ -1,61 +1,70 @@
 /**
- * Limits how often requests are sent to a further backend server, for each
- * service, summed over all VMs and without messages between them.
+ * Limits the retries of each service over all VMs, without messages between
+ * them.
  *
- * Each VM spends a share of its own requests, which add up to the share of all
- * requests, and its part of a fixed allowance.
+ * Each VM may spend a ratio of its own requests, which adds up to that ratio of
+ * all requests, and its part of a fixed allowance.
  *
  * @module
  */
 
 import { hashToUnit } from "../runtime/hash.ts";
 
-/** What all VMs together may spend in one window. */
+/** Retries that all VMs together may spend per window and service. */
 export interface RetryBudgetSettings {
-  /** Retries for each request. */
+  /** Retries per request. */
   ratio: number;
-  /** Retries on top, in a window. */
+  /** Additional retries per window. */
   allowance: number;
 }
 
 /** The retry budget of one VM. */
 export interface RetryBudget {
-  /** Notes a request for a service. */
+  /**
+   * Credits the budget of a service with a request.
+   *
+   * @param service The name of the service.
+   */
   recordRequest(service: string): void;
   /**
-   * @param service The service of the request.
-   * @returns Whether a retry may be sent; it is spent then.
+   * Spends one retry if the budget of the service allows it.
+   *
+   * @param service The name of the service.
+   * @returns Whether the retry may be sent.
    */
   take(service: string): boolean;
 }
 
 /**
- * Part of the terms that is spent: VMs count their windows apart, and a VM
- * that just started has its whole allowance again.
+ * Share of the configured budget that is spent. The rest covers that the VMs'
+ * windows are not aligned, and that a VM which just started has its whole
+ * allowance again.
  */
-const SPENT_SHARE = 0.75;
+const SPENDABLE_SHARE = 0.75;
 
 /**
- * @param terms What all VMs may spend.
- * @param countVms How many VMs serve callers now.
- * @param ownId This VM.
+ * @param settings The budget of all VMs together.
+ * @param countVms Returns the number of VMs that serve callers now.
+ * @param ownId The id of this VM.
  * @returns A full budget.
  */
 export function createRetryBudget(
-  terms: RetryBudgetSettings,
+  settings: RetryBudgetSettings,
   countVms: () => number,
   ownId: string,
 ): RetryBudget {
   const tokensByService = new Map<string, number>();
 
   /**
-   * Parts below one retry can't be spent: where the allowance is smaller than
-   * the fleet, some VMs have a whole one, others for each service.
+   * Returns the maximum number of tokens. Fractions of a retry can't be spent,
+   * so if the allowance is smaller than the number of VMs, a hash selects the
+   * VMs that have a whole token; the selection differs by service.
    */
   function getCapacity(service: string): number {
-    const part = terms.allowance * SPENT_SHARE / Math.max(1, countVms());
-    if (part >= 1) return part;
-    return hashToUnit(`${ownId} ${service}`) < part ? 1 : 0;
+    const capacity = settings.allowance * SPENDABLE_SHARE /
+      Math.max(1, countVms());
+    if (capacity >= 1) return capacity;
+    return hashToUnit(`${ownId} ${service}`) < capacity ? 1 : 0;
   }
 
   function getTokens(service: string): number {
@@ -64,7 +73,7 @@
 
   return {
     recordRequest(service) {
-      const tokens = getTokens(service) + terms.ratio * SPENT_SHARE;
+      const tokens = getTokens(service) + settings.ratio * SPENDABLE_SHARE;
       tokensByService.set(service, Math.min(getCapacity(service), tokens));
     },
     take(service) {
--- a/src/retries/budget_test.ts
+++ b/src/retries/budget_test.ts
@@ -4,13 +4,13 @@
 import { createRetryBudget } from "./budget.ts";
 
 const SEED = 20261202;
-const TERMS = { ratio: 0.2, allowance: 64 };
+const SETTINGS = { ratio: 0.2, allowance: 64 };
 
 function createBudget(countVms: () => number, ownId = "vm-1") {
-  return createRetryBudget(TERMS, countVms, ownId);
+  return createRetryBudget(SETTINGS, countVms, ownId);
 }
 
-test("VMs together stay within the terms, whatever comes in a window", () => {
+test("all VMs together stay within the budget for any number of requests", () => {
   const requests = fc.array(fc.integer({ min: 0, max: 400 }), {
     minLength: 12,
     maxLength: 12,
@@ -26,29 +26,29 @@
         }
       }
       const total = perVm.reduce((sum, count) => sum + count, 0);
-      return spent <= total * TERMS.ratio + TERMS.allowance;
+      return spent <= total * SETTINGS.ratio + SETTINGS.allowance;
     }),
     { seed: SEED, numRuns: 200 },
   );
 });
 
-test("a service's retries leave another service's alone", () => {
+test("services have separate budgets", () => {
   const budget = createBudget(() => 1);
   while (budget.take("s"));
   assert.ok(budget.take("t"));
 });
 
-test("where the allowance is under one for each VM, some VMs retry", () => {
-  // With 195 VMs and 64 retries each VM had 0.25, and no VM ever had a whole
-  // one to spend, however many requests came.
+test("some VMs can retry when the allowance is less than one per VM", () => {
+  // Guards against a budget that can never be spent: an allowance of 64 over
+  // 195 VMs gave each VM a capacity of 0.25, always less than one whole retry.
   const VMS = 195;
   let spent = 0;
   for (let vm = 0; vm < VMS; vm++) {
     const budget = createBudget(() => VMS, `vm-${vm}`);
     while (budget.take("s")) spent++;
   }
-  assert.ok(spent > TERMS.allowance / 2, `${spent}`);
-  assert.ok(spent <= TERMS.allowance, `${spent}`);
+  assert.ok(spent > SETTINGS.allowance / 2, `${spent}`);
+  assert.ok(spent <= SETTINGS.allowance, `${spent}`);
 });
 
 test.run();
--- a/src/routing/split.ts
+++ b/src/routing/split.ts
@@ -1,34 +1,35 @@
 /**
- * Deals the requests of a split route out to its services.
+ * Distributes the requests of a split route over its services.
  *
- * Smooth weighted round robin instead of a draw for each request: over any
- * 100 requests every part is within one request of its weight, where a draw
- * would be off by five.
+ * Uses smooth weighted round robin instead of a random choice per request: over
+ * any 100 requests each service is within one request of its weight, where
+ * random choices would differ by about five.
  *
  * @module
  */
 import type { Route } from "./types.ts";
 
-/** Deals out requests, route by route. */
+/** Distributes requests, route by route. */
 export interface Splitter {
   /**
    * @param route The route of a request.
-   * @returns The service that the request goes to.
+   * @returns The name of the service that the request goes to.
    */
   pickService(route: Route): string;
 }
 
-/** Routes whose credits are kept; the oldest are forgotten beyond that. */
+/** Routes whose credits are kept; beyond that the oldest is evicted. */
 const MAX_ROUTES = 4_096;
 
-/** @returns A splitter with no requests dealt out so far. */
+/** @returns A splitter that has distributed no requests yet. */
 export function createSplitter(): Splitter {
+  /** Credits of each service, by route and weights. */
   const creditsByRoute = new Map<string, number[]>();
 
   function getCredits(route: Route): number[] {
-    const key = describeSplit(route);
-    const known = creditsByRoute.get(key);
-    if (known !== undefined) return known;
+    const key = getSplitKey(route);
+    const existing = creditsByRoute.get(key);
+    if (existing !== undefined) return existing;
     const oldest = creditsByRoute.keys().next().value;
     if (creditsByRoute.size >= MAX_ROUTES && oldest !== undefined) {
       creditsByRoute.delete(oldest);
@@ -55,8 +56,8 @@
   return { pickService };
 }
 
-/** A change of the weights starts anew; other changes of a route do not. */
-function describeSplit(route: Route): string {
+/** A change of the weights resets the credits; other changes don't. */
+function getSplitKey(route: Route): string {
   const shares = route.shares.map((share) =>
     `${share.service}=${share.weight}`
   );
--- a/src/routing/table.ts
+++ b/src/routing/table.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the route of a request: same host, longest prefix of its path.
+ * Finds the route of a request by its host and the longest matching path prefix.
  *
  * @module
  */
@@ -9,47 +9,48 @@
 } from "../accounts/directory.ts";
 import type { Configuration, Route, ServiceSettings } from "./types.ts";
 
-/** Looks routes and services up in one configuration. */
+/** Looks up routes and services in one configuration. */
 export interface RouteTable {
   configuration: Configuration;
   /**
    * @param host The `Host` header, with or without a port.
-   * @param path The path as it stands in the request line.
-   * @returns The route with the longest matching prefix, if any.
+   * @param path The path and query of the request line.
+   * @returns The route with the longest matching prefix; undefined if none
+   *   matches.
    */
   match(host: string, path: string): Route | undefined;
   /**
-   * @param name A service's name.
-   * @returns Its terms, where the configuration holds them.
+   * @param name The name of a service.
+   * @returns Its settings; undefined if the configuration has none for it.
    */
   getServiceSettings(name: string): ServiceSettings | undefined;
-  /** Client accounts; undefined where callers need none. */
+  /** Client accounts; undefined if callers need none. */
   accounts: AccountDirectory | undefined;
 }
 
 /**
- * @param configuration The configuration to look routes up in.
+ * @param configuration The configuration to look up routes in.
  * @returns Its route table.
  */
 export function createRouteTable(configuration: Configuration): RouteTable {
-  const byHost = new Map<string, Map<string, Route>>();
+  const routesByHost = new Map<string, Map<string, Route>>();
   for (const route of configuration.routes) {
     const host = normalizeHost(route.host);
-    const byPrefix = byHost.get(host) ?? new Map<string, Route>();
-    byPrefix.set(route.prefix, route);
-    byHost.set(host, byPrefix);
+    const routesByPrefix = routesByHost.get(host) ?? new Map<string, Route>();
+    routesByPrefix.set(route.prefix, route);
+    routesByHost.set(host, routesByPrefix);
   }
-  const terms = new Map(
+  const settingsByService = new Map(
     configuration.services.map((service) => [service.name, service]),
   );
 
   function match(host: string, path: string): Route | undefined {
-    const byPrefix = byHost.get(normalizeHost(host));
-    if (byPrefix === undefined) return undefined;
-    const pathname = dropQuery(path);
+    const routesByPrefix = routesByHost.get(normalizeHost(host));
+    if (routesByPrefix === undefined) return undefined;
+    const pathname = stripQuery(path);
     let end = pathname.lastIndexOf("/");
     while (end >= 0) {
-      const route = byPrefix.get(pathname.slice(0, end + 1));
+      const route = routesByPrefix.get(pathname.slice(0, end + 1));
       if (route !== undefined) return route;
       if (end === 0) return undefined;
       end = pathname.lastIndexOf("/", end - 1);
@@ -61,17 +62,18 @@
   return {
     configuration,
     match,
-    getServiceSettings: (name) => terms.get(name),
+    getServiceSettings: (name) => settingsByService.get(name),
     accounts: accounts && createAccountDirectory(accounts),
   };
 }
 
-function dropQuery(path: string): string {
-  const at = path.indexOf("?");
-  return at < 0 ? path : path.slice(0, at);
+function stripQuery(path: string): string {
+  const index = path.indexOf("?");
+  return index < 0 ? path : path.slice(0, index);
 }
 
+/** Removes the port and lowercases the host name. */
 function normalizeHost(host: string): string {
-  const at = host.lastIndexOf(":");
-  return (at < 0 ? host : host.slice(0, at)).toLowerCase();
+  const index = host.lastIndexOf(":");
+  return (index < 0 ? host : host.slice(0, index)).toLowerCase();
 }
--- a/src/routing/table_test.ts
+++ b/src/routing/table_test.ts
@@ -28,7 +28,7 @@
   });
 }
 
-test("every part of a split is within one request of its weight", () => {
+test("each service of a split route is within one request of its weight", () => {
   const splitter = createSplitter();
   const route = makeRoute({
     shares: [{ service: "s", weight: 90 }, { service: "t", weight: 10 }],
@@ -42,7 +42,7 @@
   }
 });
 
-test("a part of weight 0 gets nothing", () => {
+test("a service of weight 0 gets no requests", () => {
   const splitter = createSplitter();
   const route = makeRoute({
     shares: [{ service: "s", weight: 0 }, { service: "t", weight: 5 }],
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration that requests are served by.
+ * The configuration by which requests are routed and served.
  *
  * @module
  */
@@ -9,50 +9,50 @@
 /** Whether a request may run more than once. */
 export type RequestKind = "idempotent" | "non_idempotent";
 
-/** A part of a route's requests that goes to one service. */
+/** The portion of a route's requests that goes to one service. */
 export interface ServiceShare {
   service: string;
-  /** Relative to the other parts of the route. */
+  /** Relative to the other weights of the route. */
   weight: number;
 }
 
-/** Requests of one host below one path prefix. */
+/** Settings for requests to one host below one path prefix. */
 export interface Route {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Path prefix; begins and ends with a slash. */
   prefix: string;
   kind: RequestKind;
-  /** Longest time from the request's arrival to its final answer. */
+  /** Maximum time from the arrival of a request to its final answer. */
   timeoutMs: number;
-  /** Answers within this time are worth most to the caller. */
+  /** Latency up to which an answer has its full value for the caller. */
   targetLatencyMs: number;
   /** 0 is the most urgent. */
   priority: number;
-  /** One part, or several where the route is split. */
+  /** One service, or several if the route is split. */
   shares: ServiceShare[];
-  /** Most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers that one request may be sent to. */
   maxAttempts: number;
-  /** Whether backend servers answer faster for objects they know. */
+  /** Whether backend servers answer faster for objects that they have cached. */
   isSticky: boolean;
-  /** Regions that may serve the route; empty where all may. */
+  /** Regions that may serve the route; empty if all may. */
   homeRegions: string[];
   /** Whether callers need no client account. */
   isPublic: boolean;
 }
 
-/** What is known of a service apart from its backend servers. */
+/** Settings of a service, without its backend servers. */
 export interface ServiceSettings {
   name: string;
-  /** Connections that one backend server accepts from all VMs together. */
+  /** Maximum connections to one backend server, from all VMs together. */
   maxConnections: number;
-  /** How long a backend server stays cold after a start. */
+  /** Time that a backend server stays cold after its start. */
   coldDurationMs: number;
-  /** Requests a second that a cold backend server bears, from all VMs. */
+  /** Requests per second that a cold backend server takes, from all VMs. */
   coldRequestsPerS: number;
 }
 
-/** Bounds on what a client may send. */
+/** Limits on requests from clients. */
 export interface RequestLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -62,11 +62,11 @@
 
 /** One version of the whole configuration. */
 export interface Configuration {
-  /** Rises with every accepted change. */
+  /** Increases with each accepted change. */
   version: number;
   routes: Route[];
   services: ServiceSettings[];
   limits: RequestLimits;
-  /** Absent where callers need no account. */
+  /** Client accounts; absent if callers need none. */
   accounts?: ClientAccount[];
 }
