--- a/src/activity/activity_test.ts
+++ b/src/activity/activity_test.ts
@@ -3,7 +3,7 @@
 import { makeVmIdentity } from "../gateway/fixture.ts";
 import { buildTopology } from "../members/hubs.ts";
 import type { VmIdentity } from "../members/types.ts";
-import { createObjectMemory } from "../placement/memory.ts";
+import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { hashToUint32 } from "../runtime/hash.ts";
 import { createSilentLog } from "../telemetry/log.ts";
@@ -23,7 +23,7 @@
 
 interface TestVm {
   identity: VmIdentity;
-  cacheModel: ReturnType<typeof createObjectMemory>;
+  cacheModel: ReturnType<typeof createObjectCacheModel>;
   running: ReturnType<typeof createRunningRequests>;
   sharing: ReturnType<typeof startSharing>;
   own: Map<string, number>;
@@ -41,7 +41,7 @@
     )
   );
   for (const identity of identities) {
-    const cacheModel = createObjectMemory();
+    const cacheModel = createObjectCacheModel();
     const running = createRunningRequests(clock);
     const own = new Map<string, number>();
     const sharing = startSharing({
@@ -94,7 +94,7 @@
 test("a small region shares activity directly within 50 ms", () => {
   const clock = createFakeClock();
   const fleet = startFleet(clock, { oslo: 3 });
-  fleet.get("oslo-vm-10").cacheModel.note("oslo-1", "a");
+  fleet.get("oslo-vm-10").cacheModel.recordRequest("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 2);
   clock.advance(50);
   for (const id of ["oslo-vm-11", "oslo-vm-12"]) {
@@ -132,7 +132,7 @@
   for (let vm = 10; vm < 75; vm++) {
     fleet.get(`oslo-vm-${vm}`).own.set("oslo-1", 1);
   }
-  fleet.get("oslo-vm-20").cacheModel.note("oslo-1", "a");
+  fleet.get("oslo-vm-20").cacheModel.recordRequest("oslo-1", "a");
   clock.advance(1_000);
   const atStart = fleet.countMessages();
   clock.advance(200);
@@ -176,7 +176,7 @@
   const fleet = startFleet(clock, { oslo: 9, bergen: 9, trondheim: 9 });
   const bergen = fleet.get("bergen-vm-10");
   bergen.own.set("oslo-1", 2);
-  bergen.cacheModel.note("oslo-1", "a");
+  bergen.cacheModel.recordRequest("oslo-1", "a");
   fleet.get("oslo-vm-10").own.set("oslo-1", 5);
   fleet.get("trondheim-vm-10").own.set("trondheim-1", 7);
   clock.advance(1_000);
@@ -205,7 +205,7 @@
   const relayId = fleet.getRelayId("oslo");
   const [first, started] = ["oslo-vm-10", "oslo-vm-11", "oslo-vm-12"]
     .filter((id) => id !== relayId);
-  fleet.get(first).cacheModel.note("oslo-1", "a");
+  fleet.get(first).cacheModel.recordRequest("oslo-1", "a");
   clock.advance(1_000);
   const { identity } = fleet.get(started);
   const before = fleet.countMessages();
--- a/src/activity/sharing.ts
+++ b/src/activity/sharing.ts
@@ -9,7 +9,7 @@
  */
 import type { VmIdentity } from "../members/types.ts";
 import { findRelayId, type Topology } from "../members/hubs.ts";
-import type { ObjectMemory } from "../placement/memory.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createRelay } from "./relay.ts";
@@ -25,7 +25,7 @@
   self: VmIdentity;
   clock: Clock;
   log: Log;
-  cacheModel: ObjectMemory;
+  cacheModel: ObjectCacheModel;
   /** Running requests of other VMs, as used for choosing servers. */
   running: RunningRequests;
   /** @returns Other VMs that serve clients. */
@@ -125,7 +125,7 @@
 
   function takeOwn(): Activity {
     const taken = {
-      ...cacheModel.takeNews(),
+      ...cacheModel.takeUpdates(),
       running: options.getOwnRunning(),
     };
     running.recordSent(taken.running);
@@ -224,7 +224,7 @@
     sendHistory(identity) {
       if (identity.region !== self.region) return;
       if (!options.getTopology().isFullMesh && !wasRelay) return;
-      const activity = { ...cacheModel.listAsked(), running: [] };
+      const activity = { ...cacheModel.getSnapshot(), running: [] };
       options.send([identity.id], "past", activity);
     },
     stop: () => void (stopped = true),
--- a/src/activity/types.ts
+++ b/src/activity/types.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { ObjectNews } from "../placement/memory.ts";
+import type { ObjectCacheUpdates } from "../placement/object_cache_model.ts";
 
 /** Flattened pairs of a server's hash and a count: `server, requests, ...`. */
 export type RequestPairs = number[];
@@ -23,7 +23,7 @@
  * Activity at backend servers: objects requested since the last message, and
  * requests that run now.
  */
-export interface Activity extends ObjectNews {
+export interface Activity extends ObjectCacheUpdates {
   /** Requests that run or wait now; servers without any are left out. */
   running: RequestPairs;
 }
