--- a/src/serving/exchange.ts
+++ b/src/serving/exchange.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt: a request to one backend server over a kept connection.
+ * Sends single requests to backend servers over persistent connections.
  *
- * Only a whole, signed answer to this very request counts as one. undici
- * closes a connection on which bytes arrive that no request waits for.
+ * Only a complete, signed answer to this very request is accepted. undici closes
+ * a connection on which bytes arrive without an outstanding request.
  *
  * @module
  */
@@ -20,22 +20,22 @@
   WireCodec,
 } from "./types.ts";
 
-/** How long a connection may take; a round trip between regions takes 70 ms. */
+/** Connect timeout; a round trip between regions takes 70 ms. */
 const CONNECT_TIMEOUT_MS = 400;
 /**
- * Idle time after which a connection is closed where its server doesn't name
- * one. A request that meets the server's own close is lost.
+ * Time after which an idle connection is closed if its server announces no
+ * timeout. A request that is sent while the server closes the connection is lost.
  */
-const IDLE_CONNECTION_MS = 4_000;
-/** Longest idle time taken over from a server. */
-const MAX_IDLE_CONNECTION_MS = 60_000;
-/** A connection is given up this long before its server would close it. */
+const IDLE_TIMEOUT_MS = 4_000;
+/** Upper bound of the idle timeout that a server may announce. */
+const MAX_IDLE_TIMEOUT_MS = 60_000;
+/** A connection is closed this long before its server would close it. */
 const IDLE_MARGIN_MS = 1_000;
-/** Largest answer that is passed on; whole answers are kept in memory. */
+/** Largest answer that is accepted; answers are buffered in memory. */
 const MAX_ANSWER_BYTES = 16_777_216;
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1). */
-const CONNECTION_HEADERS = new Set([
+/** Hop-by-hop headers (RFC 9110, 7.6.1). */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -50,9 +50,9 @@
 
 /** A running attempt. */
 export interface Attempt {
-  /** How it ends; never rejects. */
+  /** Result of the attempt; never rejects. */
   result: Promise<ExchangeResult>;
-  /** Breaks it off; the server sees its connection close. */
+  /** Aborts the attempt by closing its connection. */
   abort(reason: LossReason): void;
 }
 
@@ -61,27 +61,32 @@
   /**
    * @param server The server.
    * @param request The request.
-   * @param remainingMs Time that the server has.
-   * @param isWanted Whether it may still be sent, asked when a connection is
-   *   free for it.
+   * @param remainingMs Time that the server has to answer.
+   * @param maySend Whether the request may still be sent; called when a
+   *   connection is free for it.
    * @returns The running attempt.
    */
   send(
     server: ListedServer,
     request: CallerRequest,
     remainingMs: number,
-    isWanted: () => boolean,
+    maySend: () => boolean,
   ): Attempt;
-  /** Closes connections to servers that are not listed any more. */
+  /**
+   * Closes the connections to a server that is no longer listed, after its
+   * requests in flight.
+   */
   closePool(serverId: string): void;
-  /** @returns Open connections, for metrics. */
+  /** @returns Number of open connections, for metrics. */
   countConnections(): number;
+  /** Closes all connections; requests in flight are lost. */
   close(): Promise<void>;
 }
 
 /**
- * @param codec Header names of the deployment.
- * @param getConnectionLimit Connections that this VM may open to a server.
+ * @param codec Encodes and decodes the headers of the deployment.
+ * @param getConnectionLimit Returns the number of connections that this VM may
+ *   open to a server.
  * @returns An exchange without connections.
  */
 export function createExchange(
@@ -89,17 +94,17 @@
   getConnectionLimit: (server: ListedServer) => number,
 ): Exchange {
   const pools = new Map<string, Pool>();
-  const failing = createFailureWatch();
+  const failureDetector = createFailureDetector();
 
   function getPool(server: ListedServer): Pool {
-    const known = pools.get(server.id);
-    if (known !== undefined) return known;
+    const existing = pools.get(server.id);
+    if (existing !== undefined) return existing;
     const pool = new Pool(`http://${server.address}`, {
       connections: getConnectionLimit(server),
       pipelining: 1,
-      connect: failing.connect,
-      keepAliveTimeout: IDLE_CONNECTION_MS,
-      keepAliveMaxTimeout: MAX_IDLE_CONNECTION_MS,
+      connect: failureDetector.connect,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
@@ -110,7 +115,7 @@
   }
 
   return {
-    send(server, request, remainingMs, isWanted) {
+    send(server, request, remainingMs, maySend) {
       const headers = codec.encodeRequest(
         copyEndToEndHeaders(request.headers),
         {
@@ -121,15 +126,15 @@
       );
       return startAttempt(getPool(server), request, headers, {
         codec,
-        isConnectionFailing: failing.isFailing,
-        isWanted,
+        isConnectionFailing: failureDetector.isFailing,
+        maySend,
       });
     },
     closePool(serverId) {
       const pool = pools.get(serverId);
       if (pool === undefined) return;
       pools.delete(serverId);
-      // Requests in flight are finished first.
+      // Waits for requests in flight.
       pool.close().catch(() => pool.destroy());
     },
     countConnections() {
@@ -138,30 +143,30 @@
       return count;
     },
     async close() {
-      const open = [...pools.values()];
+      const openPools = [...pools.values()];
       pools.clear();
-      await Promise.all(open.map((pool) => pool.destroy()));
+      await Promise.all(openPools.map((pool) => pool.destroy()));
     },
   };
 }
 
-/** Tells whether a connection is breaking at this very moment. */
-interface FailureWatch {
+/** Detects whether a connection is failing in the current event loop step. */
+interface FailureDetector {
   connect: buildConnector.connector;
   isFailing: () => boolean;
 }
 
 /**
- * An answer without a length ends with its connection. undici takes such an
- * answer as complete when the connection is reset; the listeners here run
- * before undici's, in the same step of the loop, so that the answer's end can
- * be told from a reset. A reset that arrives together with data shows as a
- * plain end, after which the connection has no peer any more.
+ * An answer without a length ends with its connection, and undici takes it as
+ * complete also when the connection is reset. The listeners here run before
+ * undici's, in the same step of the event loop, and so distinguish a reset from
+ * the regular end of an answer. A reset that arrives together with data appears
+ * as a regular end, but the socket then has no remote address any more.
  */
-function createFailureWatch(): FailureWatch {
+function createFailureDetector(): FailureDetector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   let isFailing = false;
-  const noteFailure = () => {
+  const recordFailure = () => {
     isFailing = true;
     process.nextTick(() => void (isFailing = false));
   };
@@ -170,9 +175,9 @@
       connect(options, (...result) => {
         const [error, socket] = result;
         if (error === null) {
-          socket.on("error", noteFailure);
+          socket.on("error", recordFailure);
           socket.on("end", () => {
-            if (socket.remoteAddress === undefined) noteFailure();
+            if (socket.remoteAddress === undefined) recordFailure();
           });
         }
         callback(...result);
@@ -182,17 +187,17 @@
   };
 }
 
-interface AttemptParts {
+interface AttemptOptions {
   codec: WireCodec;
   isConnectionFailing: () => boolean;
-  isWanted: () => boolean;
+  maySend: () => boolean;
 }
 
 function startAttempt(
   pool: Pool,
   request: CallerRequest,
   headers: Record<string, string | string[]>,
-  { codec, isConnectionFailing, isWanted }: AttemptParts,
+  { codec, isConnectionFailing, maySend }: AttemptOptions,
 ): Attempt {
   let controller: Dispatcher.DispatchController | undefined;
   let abortReason: LossReason | undefined;
@@ -209,7 +214,7 @@
     }, {
       onRequestStart(started) {
         controller = started;
-        isWithdrawn = !isWanted();
+        isWithdrawn = !maySend();
         if (abortReason !== undefined || isWithdrawn) {
           started.abort(new Error(abortReason ?? "withdrawn"));
         }
@@ -225,13 +230,13 @@
           return resolve({ kind: "lost", reason: "cut", detail });
         }
         const body = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
-        const mark = codec.decodeAnswer(status, answerHeaders);
+        const metadata = codec.decodeAnswer(status, answerHeaders);
         const headers = copyEndToEndHeaders(answerHeaders);
-        resolve(judgeAnswer(mark, { status, headers, body }, request));
+        resolve(classifyAnswer(metadata, { status, headers, body }, request));
       },
       onResponseError(_controller, error) {
         if (isWithdrawn) return resolve({ kind: "withdrawn" });
-        resolve(judgeError(error, abortReason));
+        resolve(classifyError(error, abortReason));
       },
     });
   });
@@ -244,32 +249,32 @@
   };
 }
 
-function judgeAnswer(
-  mark: AnswerMetadata,
+function classifyAnswer(
+  metadata: AnswerMetadata,
   answer: { status: number; headers: IncomingHttpHeaders; body: Buffer },
   request: CallerRequest,
 ): ExchangeResult {
   const { requestId } = request.metadata;
-  const { signals } = mark;
-  const isOwn = mark.requestId === requestId;
-  // A refusal may come from a server that did not read so far as the id.
-  if (isOwn || mark.requestId === undefined) {
-    if (mark.isOtherServer) {
+  const { signals } = metadata;
+  const isSameRequest = metadata.requestId === requestId;
+  // A server may refuse a request before it has read the id.
+  if (isSameRequest || metadata.requestId === undefined) {
+    if (metadata.isOtherServer) {
       return { kind: "not_run", reason: "other_server", signals: NO_SIGNALS };
     }
-    if (mark.isNotRun) return { kind: "not_run", reason: "shed", signals };
+    if (metadata.isNotRun) return { kind: "not_run", reason: "shed", signals };
   }
-  if (!isOwn) {
-    const detail = `answer to request ${mark.requestId ?? "without id"}`;
+  if (!isSameRequest) {
+    const detail = `answer to request ${metadata.requestId ?? "without id"}`;
     return { kind: "lost", reason: "crossed", detail };
   }
-  if (answer.status >= 200 && answer.status < 300 && !mark.isSigned) {
+  if (answer.status >= 200 && answer.status < 300 && !metadata.isSigned) {
     return { kind: "lost", reason: "unsigned", detail: "answer is not signed" };
   }
   return { kind: "answer", answer, signals };
 }
 
-function judgeError(
+function classifyError(
   error: Error,
   abortReason: LossReason | undefined,
 ): ExchangeResult {
@@ -286,17 +291,19 @@
 
 /**
  * @param headers Headers of a request or an answer.
- * @returns Those that concern more than one connection.
+ * @returns The headers without hop-by-hop headers and `content-length`.
  */
 export function copyEndToEndHeaders(
   headers: IncomingHttpHeaders,
 ): IncomingHttpHeaders {
-  const listed = String(headers.connection ?? "").toLowerCase().split(",")
+  const connectionOptions = String(headers.connection ?? "").toLowerCase()
+    .split(",")
     .map((name) => name.trim());
   const copy: IncomingHttpHeaders = {};
   for (const [name, value] of Object.entries(headers)) {
-    const isHop = CONNECTION_HEADERS.has(name) || listed.includes(name);
-    if (!isHop && name !== "content-length") copy[name] = value;
+    const isHopByHop = HOP_BY_HOP_HEADERS.has(name) ||
+      connectionOptions.includes(name);
+    if (!isHopByHop && name !== "content-length") copy[name] = value;
   }
   return copy;
 }
--- a/src/serving/front_server.ts
+++ b/src/serving/front_server.ts
@@ -1,8 +1,8 @@
 /**
- * The address that clients send requests to.
+ * The HTTP server that receives requests from clients.
  *
- * node:http instead of a router: every path belongs to some service, and the
- * request line has to reach the backend server unchanged.
+ * It uses node:http without a routing framework, because every path belongs to
+ * some service and the request line has to reach the backend server unchanged.
  *
  * @module
  */
@@ -24,8 +24,9 @@
 import type { RequestHandler } from "./request_handler.ts";
 import type { ServeResult, WireCodec } from "./types.ts";
 
-/** What the front address needs. */
+/** Options of the front server. */
 export interface FrontServerOptions {
+  /** Address to listen at. */
   address: HostPort;
   codec: WireCodec;
   handler: RequestHandler;
@@ -33,76 +34,79 @@
   clock: Clock;
   log: Log;
   metrics: ServingMetrics;
-  /** Whether connections wait to be read. */
+  /** Whether the event loop lags, so that connections wait to be read. */
   isOverloaded: () => boolean;
-  /** Routes in force; undefined before the first configuration. */
+  /** Returns the active routes; undefined before the first configuration. */
   getRouteTable: () => RouteTable | undefined;
-  /** @returns How long ago they were known to be the newest. */
+  /** Returns the time since the routes were last known to be current, in ms. */
   getRouteTableAgeMs: () => number;
 }
 
-/** The listening front address. */
+/** A listening front server. */
 export interface FrontServer {
-  /** Asks clients to leave: answers close their connection from now on. */
+  /** From now on, closes each connection after its next answer. */
   startLeaving(): void;
-  /** Takes no more connections, closes idle ones, waits for requests. */
+  /** Stops listening, closes idle connections and waits for open requests. */
   close(): Promise<void>;
-  /** @returns Requests that are being served. */
+  /** @returns Number of requests that are being served. */
   countOpenRequests(): number;
 }
 
-/** Header blocks above this are turned away by the parser. */
+/** The parser rejects requests with larger headers. */
 const MAX_HEADER_BYTES = 65_536;
-/** Connections are kept this long beyond what clients are told. */
+/** Idle connections are kept this much longer than the announced timeout. */
 const IDLE_MARGIN_MS = 1_000;
-const DEFAULT_IDLE_MS = 15_000;
-/** How often connections that send their headers too slowly are looked for. */
-const SLOW_CHECK_MS = 1_000;
-/** Turns of the loop until the close behind a request is seen. */
-const CLOSE_TURNS = 2;
-/** RFC 9457: a caller who gets this can change its request, or report it. */
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/** Interval of checks for connections that send their headers too slowly. */
+const SLOW_HEADERS_CHECK_MS = 1_000;
+/** Turns of the event loop until a close that follows a request is noticed. */
+const CLOSE_NOTICE_TURNS = 2;
+/**
+ * Problem details (RFC 9457), so that the caller knows to change its request or
+ * to report it.
+ */
 const SET_ASIDE_PROBLEM = JSON.stringify({
   title: "Request set aside",
   status: 503,
   detail: "Backend servers ended while they ran this request. It was not run " +
     "now, and will not be before the time given in Retry-After.",
 });
-/** When to come back to a VM that has no configuration yet. */
-const STARTING_RETRY_MS = 300;
+/** When clients should retry while this VM has no configuration yet. */
+const NO_CONFIGURATION_RETRY_MS = 300;
 
 /**
- * @param parts What the address needs.
- * @returns The listening address.
+ * @param options Address and dependencies.
+ * @returns The server, once it listens.
  */
 export function startFrontServer(
-  parts: FrontServerOptions,
+  options: FrontServerOptions,
 ): Promise<FrontServer> {
-  const { codec, handler: flow, callerCheck, clock, log, metrics } = parts;
+  const { codec, handler, callerCheck, clock, log, metrics } = options;
   let isLeaving = false;
-  let open = 0;
+  let openRequests = 0;
 
   const server = createServer({
     maxHeaderSize: MAX_HEADER_BYTES,
-    keepAliveTimeout: DEFAULT_IDLE_MS + IDLE_MARGIN_MS,
-    connectionsCheckingInterval: SLOW_CHECK_MS,
+    keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS + IDLE_MARGIN_MS,
+    connectionsCheckingInterval: SLOW_HEADERS_CHECK_MS,
     requestTimeout: 0,
     noDelay: true,
-  }, (message, response) => void handle(message, response));
+  }, (message, response) => void handleMessage(message, response));
 
-  async function handle(
+  async function handleMessage(
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const arrivedAtMs = clock.monotonicMs();
     if (isLeaving) response.setHeader("connection", "close");
-    open++;
+    openRequests++;
     try {
       await serve(message, response, arrivedAtMs);
     } catch (cause) {
-      log.error({ error: describeError(cause) }, "serving failed");
+      log.error({ error: describeError(cause) }, "request failed unexpectedly");
       response.destroy();
     } finally {
-      open--;
+      openRequests--;
     }
   }
 
@@ -111,75 +115,81 @@
     response: ServerResponse,
     arrivedAtMs: number,
   ): Promise<void> {
-    const table = parts.getRouteTable();
-    const terms = codec.decodeRequest(message.headers);
+    const table = options.getRouteTable();
+    const metadata = codec.decodeRequest(message.headers);
     if (table === undefined) {
       const result: ServeResult = {
         kind: "refused",
         reason: "no_configuration",
-        retryAfterMs: STARTING_RETRY_MS,
+        retryAfterMs: NO_CONFIGURATION_RETRY_MS,
       };
-      return finish(response, result, { requestId: terms.requestId });
+      return sendResult(response, result, { requestId: metadata.requestId });
     }
     const path = message.url ?? "/";
     const route = table.match(message.headers.host ?? "", path);
-    const decidedBy = {
+    const configurationFields = {
       version: table.configuration.version,
-      factAgeMs: Math.round(parts.getRouteTableAgeMs()),
+      factAgeMs: Math.round(options.getRouteTableAgeMs()),
     };
-    if (route === undefined || terms.requestId === undefined) {
+    if (route === undefined || metadata.requestId === undefined) {
       const status = route === undefined ? 404 : 400;
       const { host } = message.headers;
       log.info(
-        { requestId: terms.requestId, host, path, ...decidedBy, status },
+        {
+          requestId: metadata.requestId,
+          host,
+          path,
+          ...configurationFields,
+          status,
+        },
         "request rejected",
       );
-      return sendOwn(response, status, {});
+      return sendStatus(response, status, {});
     }
     applyLimits(server, table);
-    const checked = callerCheck.check(table, route, terms);
-    const end = (result: ServeResult) => {
+    const checked = callerCheck.check(table, route, metadata);
+    const finish = (result: ServeResult) => {
       const tookMs = clock.monotonicMs() - arrivedAtMs;
       metrics.noteRequest(route, result, tookMs);
-      finish(response, result, {
-        requestId: terms.requestId,
+      sendResult(response, result, {
+        requestId: metadata.requestId,
         route: route.name,
-        ...decidedBy,
+        ...configurationFields,
         tookMs: Math.round(tookMs),
         targetMs: route.targetLatencyMs,
       });
     };
-    if (checked.kind === "rejected") return end(checked.result);
+    if (checked.kind === "rejected") return finish(checked.result);
     const body = await readBody(
       message,
       table.configuration.limits.maxBodyBytes,
     );
-    if (parts.isOverloaded()) await passTurns();
-    if (body === "cut" || hasLeft(message)) {
+    if (options.isOverloaded()) await yieldToEventLoop();
+    if (body === "cut" || hasDisconnected(message)) {
       return callerCheck.giveBack(checked);
     }
     if (body === "too_large") {
       callerCheck.giveBack(checked);
-      return sendOwn(response, 413, {});
+      return sendStatus(response, 413, {});
     }
-    const result = await flow.handle({
+    const result = await handler.handle({
       method: message.method ?? "GET",
       path,
       headers: message.headers,
       body,
-      metadata: terms,
+      metadata,
       caller: checked.caller,
       account: checked.account,
       route,
       homeRegions: checked.homeRegions,
       arrivedAtMs,
-      signal: watchClient(response),
+      signal: createDisconnectSignal(response),
     });
     if (result.kind === "refused") callerCheck.giveBack(checked);
-    end(result);
+    finish(result);
   }
 
-  function finish(
+  function sendResult(
     response: ServerResponse,
     result: ServeResult,
     fields: Record<string, unknown>,
@@ -190,12 +200,12 @@
     if (result.kind === "refused") return sendRefusal(response, result);
     if (result.kind === "limited") {
       const headers = codec.encodeRefusal(result.retryAfterMs);
-      return sendOwn(response, 429, headers);
+      return sendStatus(response, 429, headers);
     }
     if (result.kind === "unknown_caller") {
-      return sendOwn(response, 401, codec.encodeChallenge());
+      return sendStatus(response, 401, codec.encodeChallenge());
     }
-    sendOwn(response, result.kind === "timed_out" ? 504 : 502, {});
+    sendStatus(response, result.kind === "timed_out" ? 504 : 502, {});
   }
 
   function sendRefusal(
@@ -203,8 +213,8 @@
     { reason, retryAfterMs }: Extract<ServeResult, { kind: "refused" }>,
   ): void {
     const headers = codec.encodeRefusal(retryAfterMs);
-    if (reason !== "set_aside") return sendOwn(response, 503, headers);
-    sendOwn(
+    if (reason !== "set_aside") return sendStatus(response, 503, headers);
+    sendStatus(
       response,
       503,
       { ...headers, "content-type": "application/problem+json" },
@@ -214,21 +224,21 @@
 
   return new Promise((resolve, reject) => {
     server.once("error", reject);
-    server.listen(parts.address.port, parts.address.host, () => {
+    server.listen(options.address.port, options.address.host, () => {
       resolve({
         startLeaving: () => void (isLeaving = true),
         close: () =>
-          new Promise((closed) => {
-            server.close(() => closed());
+          new Promise((onClosed) => {
+            server.close(() => onClosed());
             server.closeIdleConnections();
           }),
-        countOpenRequests: () => open,
+        countOpenRequests: () => openRequests,
       });
     });
   });
 }
 
-/** Limits may change with each version of the configuration. */
+/** Applies the limits of the active configuration. */
 function applyLimits(server: Server, table: RouteTable): void {
   const { limits } = table.configuration;
   server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
@@ -236,19 +246,19 @@
 }
 
 /**
- * Lets the loop find connections that were closed right behind their request:
- * where connections wait to be read, some clients have left meanwhile.
+ * Lets the event loop notice connections that were closed right after their
+ * request: while connections wait to be read, some clients disconnect.
  */
-async function passTurns(): Promise<void> {
-  for (let turn = 0; turn < CLOSE_TURNS; turn++) await nextTurn();
+async function yieldToEventLoop(): Promise<void> {
+  for (let turn = 0; turn < CLOSE_NOTICE_TURNS; turn++) await nextTurn();
 }
 
-/** A connection whose client closed it is ended from this side as well. */
-function hasLeft({ socket }: IncomingMessage): boolean {
+/** Node.js also ends this side of a connection that the client has closed. */
+function hasDisconnected({ socket }: IncomingMessage): boolean {
   return socket.destroyed || socket.writableEnded;
 }
 
-function watchClient(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
@@ -290,7 +300,8 @@
   response.end(body);
 }
 
-function sendOwn(
+/** Sends a response that the gateway itself generates. */
+function sendStatus(
   response: ServerResponse,
   status: number,
   headers: Record<string, string>,
--- a/src/serving/request_handler.ts
+++ b/src/serving/request_handler.ts
@@ -1,9 +1,9 @@
 /**
- * Serves one request: chooses servers, sends, retries what may be retried, and
- * ends it in time.
+ * Serves a request: selects servers, sends the request, retries it where that is
+ * allowed, and finishes before its deadline.
  *
- * A request that isn't idempotent is sent again only after its server said
- * that it did not run, or where no byte of it can have left this VM.
+ * A request that isn't idempotent is retried only if its server stated that it
+ * did not run, or if no byte of it can have left this VM.
  *
  * @module
  */
@@ -35,7 +35,7 @@
   type ServeResult,
 } from "./types.ts";
 
-/** What serving needs. */
+/** Options of a request handler. */
 export interface RequestHandlerOptions {
   clock: Clock;
   log: Log;
@@ -52,32 +52,35 @@
   crashCheck: EndCheck;
   suspects: SuspectTracker;
   permits: ServerPermits;
-  /** Limits of client accounts. */
+  /** Rate limits of client accounts. */
   limiter: RateLimiter;
 }
 
-/** Serves requests. */
+/** Handles requests of clients. */
 export interface RequestHandler {
-  /** @returns How the request ends; never rejects. */
+  /**
+   * @param request The request.
+   * @returns The result for the client; never rejects.
+   */
   handle(request: CallerRequest): Promise<ServeResult>;
 }
 
-/** A server needs this long to answer at all; less is not worth a try. */
+/** No attempt is made with less time left: a server needs that much to answer. */
 const MIN_ATTEMPT_MS = 20;
-/** Clients that don't say how long they wait. */
+/** Deadline of requests that don't give one. */
 const DEFAULT_DEADLINE_MS = 30_000;
-/** Why a request is not sent again. */
+/** Why a request is not retried. */
 type RetryDenial =
   | "attempts_used"
   | "too_late"
   | "budget_spent"
   | "servers_ended";
 
-/** @returns A name that each repeat of a request has as well. */
-function fingerprintOf(request: CallerRequest): string {
-  const { method, headers, path, metadata: terms, caller, body } = request;
-  const { objectKey = "", callerKey = "" } = terms;
-  // Accounts may change keys; the account is the caller.
+/** @returns The fingerprint of a request, the same for each repeat. */
+function computeFingerprint(request: CallerRequest): string {
+  const { method, headers, path, metadata, caller, body } = request;
+  const { objectKey = "", callerKey = "" } = metadata;
+  // An account may change its keys, so its name identifies the caller.
   const callerName = caller.kind === "account" ? caller.name : callerKey;
   return makeFingerprint({
     method,
@@ -88,26 +91,27 @@
   });
 }
 
-/** Whether an earlier attempt ran, or may have. */
+/** Whether an earlier attempt ran or may have run. */
 function mayHaveRun({ fallback, lost }: RequestProgress): boolean {
   return fallback !== undefined || lost !== undefined;
 }
 
-function toPermitEnd(result: ExchangeResult): PermitEnd {
+function toPermitOutcome(result: ExchangeResult): PermitEnd {
   if (result.kind === "lost") return "lost";
   if (result.kind === "not_run") return "turned_away";
   if (result.kind !== "answer") return "not_sent";
   return result.signals.backoffMs === undefined ? "taken" : "turned_away";
 }
 
-type Step = { kind: "again" } | { kind: "done"; result: ServeResult };
+/** How to proceed after an attempt. */
+type NextStep = { kind: "again" } | { kind: "done"; result: ServeResult };
 
 /**
- * @param parts What serving needs.
- * @returns The flow of requests through this VM.
+ * @param options Dependencies.
+ * @returns A request handler.
  */
 export function createRequestHandler(
-  parts: RequestHandlerOptions,
+  options: RequestHandlerOptions,
 ): RequestHandler {
   const {
     clock,
@@ -116,31 +120,31 @@
     registry,
     exchange,
     budget,
-    cacheModel: memory,
+    cacheModel,
     suspects,
-  } = parts;
+  } = options;
 
-  async function serve(request: CallerRequest): Promise<ServeResult> {
-    const progress = begin(request);
+  async function handle(request: CallerRequest): Promise<ServeResult> {
+    const progress = createProgress(request);
     const { route } = request;
     budget.noteRequest(progress.service);
-    parts.demand.record(progress.service);
+    options.demand.record(progress.service);
     for (;;) {
       if (request.signal.aborted) return { kind: "client_left" };
-      const judgement = suspects.assess(progress.fingerprint);
-      if (judgement.kind === "set_aside") {
-        return turnAway(progress, judgement);
+      const assessment = suspects.assess(progress.fingerprint);
+      if (assessment.kind === "set_aside") {
+        return refuseSetAside(progress, assessment);
       }
       const remainingMs = progress.deadlineAtMs - clock.monotonicMs();
       if (remainingMs < MIN_ATTEMPT_MS) return giveUp(progress, "too_late");
-      const placed = parts.placer.place(progress);
+      const placed = options.placer.place(progress);
       if (placed.kind === "not_placed") {
         return giveUp(progress, placed.reason, placed.retryAfterMs);
       }
-      if (judgement.kind === "suspect") {
+      if (assessment.kind === "suspect") {
         suspects.recordProbe(progress.fingerprint);
       }
-      const step = await attempt(progress, placed, remainingMs);
+      const step = await runAttempt(progress, placed, remainingMs);
       if (step.kind === "done") return step.result;
       if (progress.triedServers.size >= route.maxAttempts) {
         return giveUp(progress, "not_run_anywhere");
@@ -148,8 +152,8 @@
     }
   }
 
-  /** Refuses at once what ends servers; clients are told when it may run. */
-  function turnAway(
+  /** Refuses a request that crashes servers, with the time when it may run. */
+  function refuseSetAside(
     progress: RequestProgress,
     { ends, retryAfterMs }: Extract<RequestAssessment, { kind: "set_aside" }>,
   ): ServeResult {
@@ -166,20 +170,20 @@
         })),
         retryAfterMs: Math.round(retryAfterMs),
       },
-      "set aside",
+      "set-aside request refused",
     );
     return giveUp(progress, "set_aside", retryAfterMs);
   }
 
-  function begin(request: CallerRequest): RequestProgress {
-    const { route, metadata: terms, arrivedAtMs } = request;
-    const deadlineMs = terms.deadlineMs ?? DEFAULT_DEADLINE_MS;
+  function createProgress(request: CallerRequest): RequestProgress {
+    const { route, metadata, arrivedAtMs } = request;
+    const deadlineMs = metadata.deadlineMs ?? DEFAULT_DEADLINE_MS;
     return {
       request,
-      fingerprint: fingerprintOf(request),
-      service: parts.splitter.pickService(route),
-      objectKey: terms.objectKey ?? `unkeyed ${random()}`,
-      usesObjectCache: terms.objectKey !== undefined && route.isSticky,
+      fingerprint: computeFingerprint(request),
+      service: options.splitter.pickService(route),
+      objectKey: metadata.objectKey ?? `unkeyed ${random()}`,
+      usesObjectCache: metadata.objectKey !== undefined && route.isSticky,
       deadlineAtMs: arrivedAtMs + Math.min(route.timeoutMs, deadlineMs),
       triedServers: new Set(),
       lastUtilization: Infinity,
@@ -188,75 +192,75 @@
     };
   }
 
-  async function attempt(
+  async function runAttempt(
     progress: RequestProgress,
-    { server, isCached: isKnown }: PlacedAttempt,
+    { server, isCached }: PlacedAttempt,
     remainingMs: number,
-  ): Promise<Step> {
+  ): Promise<NextStep> {
     const { request } = progress;
     progress.triedServers.add(server.listed.id);
     if (request.account !== undefined && mayHaveRun(progress)) {
-      parts.limiter.charge(request.account);
+      options.limiter.charge(request.account);
     }
     const startedAtMs = clock.monotonicMs();
-    const useAtStart = server.load.getUse();
-    progress.lastUtilization = useAtStart;
+    const utilizationAtStart = server.load.getUse();
+    progress.lastUtilization = utilizationAtStart;
     const depth = progress.usesObjectCache
-      ? memory.note(server.listed.id, makeObjectName(progress))
+      ? cacheModel.note(server.listed.id, makeObjectName(progress))
       : undefined;
     server.load.begin();
-    const running = exchange.send(
+    const attempt = exchange.send(
       server.listed,
       request,
       remainingMs,
-      () => registry.isUsable(server) && parts.permits.holds(server.listed),
+      () => registry.isUsable(server) && options.permits.holds(server.listed),
     );
-    const leave = () => running.abort("client_left");
-    request.signal.addEventListener("abort", leave);
-    const timer = clock.after(remainingMs, () => running.abort("timeout"));
-    const endWatch = watchSuspect(progress, running);
-    const result = await running.result;
+    const onClientLeft = () => attempt.abort("client_left");
+    request.signal.addEventListener("abort", onClientLeft);
+    const timer = clock.after(remainingMs, () => attempt.abort("timeout"));
+    const stopWatching = abortWhenSetAside(progress, attempt);
+    const result = await attempt.result;
     timer.cancel();
-    endWatch();
-    request.signal.removeEventListener("abort", leave);
+    stopWatching();
+    request.signal.removeEventListener("abort", onClientLeft);
     const tookMs = clock.monotonicMs() - startedAtMs;
-    parts.observer.recordAttempt(progress, server, {
+    options.observer.recordAttempt(progress, server, {
       result,
       tookMs,
-      utilizationAtStart: useAtStart,
+      utilizationAtStart,
       depth,
-      isCached: isKnown,
+      isCached,
     });
     server.load.end();
-    parts.permits.end(server.listed, toPermitEnd(result));
+    options.permits.end(server.listed, toPermitOutcome(result));
     if (result.kind === "lost" && result.reason === "cut") {
-      const isChecked = noteCut(progress, server);
-      // What must not run twice waits for nothing more.
-      if (request.route.kind === "idempotent") await isChecked;
+      const checkDone = recordCut(progress, server);
+      // A request that must not run twice isn't retried, so it doesn't wait.
+      if (request.route.kind === "idempotent") await checkDone;
     }
-    return judge(progress, server, result);
+    return evaluateResult(progress, server, result);
   }
 
   /**
-   * A copy that still waits at a server when its request is set aside is taken
-   * back, as far as it may run twice: with queues of 0.3 s each copy would end
-   * one server more.
+   * Aborts an attempt when its request is set aside, unless it must not run
+   * twice. With queues of 0.3 s, each copy still queued at a server would crash
+   * one more server.
    */
-  function watchSuspect(
+  function abortWhenSetAside(
     { request, fingerprint }: RequestProgress,
-    running: Attempt,
+    attempt: Attempt,
   ): () => void {
     if (request.route.kind === "non_idempotent") return () => {};
-    return suspects.watch(fingerprint, () => running.abort("set_aside"));
+    return suspects.watch(fingerprint, () => attempt.abort("set_aside"));
   }
 
-  /** Tells a server that ended under a request from a connection that broke. */
-  async function noteCut(
+  /** Records a crash if the server is gone, not only the connection to it. */
+  async function recordCut(
     progress: RequestProgress,
     server: KnownServer,
   ): Promise<void> {
     const { request, fingerprint } = progress;
-    const verdict = await parts.crashCheck.check(server.listed);
+    const verdict = await options.crashCheck.check(server.listed);
     log.info(
       {
         requestId: request.metadata.requestId,
@@ -269,16 +273,16 @@
       },
       "connection cut",
     );
-    // One that drained would have ended under whatever it ran.
+    // A draining server would have stopped under any request.
     if (verdict !== "ended" || !registry.isUsable(server)) return;
     suspects.recordCrash(fingerprint, server.listed.id);
   }
 
-  function judge(
+  function evaluateResult(
     progress: RequestProgress,
     server: KnownServer,
     result: ExchangeResult,
-  ): Step {
+  ): NextStep {
     if (result.kind === "not_sent") return { kind: "again" };
     if (result.kind === "withdrawn") {
       progress.triedServers.delete(server.listed.id);
@@ -286,13 +290,16 @@
     }
     if (result.kind === "answer") {
       suspects.recordAnswer(progress.fingerprint);
-      return judgeAnswer(progress, result.answer);
+      return evaluateAnswer(progress, result.answer);
     }
     if (result.kind === "not_run") {
       if (result.reason === "other_server") {
         registry.markReplaced(server.listed.id);
       }
-      return retryOr(progress, () => giveUp(progress, "not_run_anywhere"));
+      return retryOrFinish(
+        progress,
+        () => giveUp(progress, "not_run_anywhere"),
+      );
     }
     if (result.reason === "client_left") {
       return { kind: "done", result: { kind: "client_left" } };
@@ -301,38 +308,44 @@
     if (progress.request.route.kind === "non_idempotent") {
       return { kind: "done", result: giveUp(progress, "too_late") };
     }
-    return retryOr(progress, () => giveUp(progress, "too_late"));
+    return retryOrFinish(progress, () => giveUp(progress, "too_late"));
   }
 
-  function judgeAnswer(progress: RequestProgress, answer: ServerAnswer): Step {
+  function evaluateAnswer(
+    progress: RequestProgress,
+    answer: ServerAnswer,
+  ): NextStep {
     const result: ServeResult = { kind: "answer", answer };
     const isRepeatable = progress.request.route.kind === "idempotent";
     if (answer.status < MIN_SERVER_ERROR_STATUS || !isRepeatable) {
       return { kind: "done", result };
     }
     progress.fallback = answer;
-    return retryOr(progress, () => result);
+    return retryOrFinish(progress, () => result);
   }
 
-  function retryOr(progress: RequestProgress, end: () => ServeResult): Step {
-    const { request, triedServers: tried, service } = progress;
-    const denial = findDenial(progress);
+  function retryOrFinish(
+    progress: RequestProgress,
+    getResult: () => ServeResult,
+  ): NextStep {
+    const { request, triedServers, service } = progress;
+    const denial = findRetryDenial(progress);
     log.info(
       {
         requestId: request.metadata.requestId,
         service,
-        tried: tried.size,
+        tried: triedServers.size,
         denial,
       },
       denial === undefined ? "retry" : "no retry",
     );
     if (denial === undefined) return { kind: "again" };
-    return { kind: "done", result: end() };
+    return { kind: "done", result: getResult() };
   }
 
-  function findDenial(progress: RequestProgress): RetryDenial | undefined {
-    const { request, triedServers: tried, service, fingerprint } = progress;
-    if (tried.size >= request.route.maxAttempts) return "attempts_used";
+  function findRetryDenial(progress: RequestProgress): RetryDenial | undefined {
+    const { request, triedServers, service, fingerprint } = progress;
+    if (triedServers.size >= request.route.maxAttempts) return "attempts_used";
     if (!mayRetry(suspects.assess(fingerprint))) return "servers_ended";
     const leftMs = progress.deadlineAtMs - clock.monotonicMs();
     if (leftMs < MIN_ATTEMPT_MS) return "too_late";
@@ -352,16 +365,16 @@
       return { kind: "failed", reason: progress.lost };
     }
     const { route } = progress.request;
-    const use = reason === "not_run_anywhere"
+    const utilization = reason === "not_run_anywhere"
       ? progress.lastUtilization
       : Infinity;
     return {
       kind: "refused",
       reason,
       retryAfterMs: retryAfterMs ??
-        parts.latencyModel.getRetryAfterMs(route, use, random()),
+        options.latencyModel.getRetryAfterMs(route, utilization, random()),
     };
   }
 
-  return { handle: serve };
+  return { handle };
 }
