--- a/src/placement/overload_test.ts
+++ b/src/placement/overload_test.ts
@@ -9,7 +9,7 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRandom, drawExponential } from "../runtime/random.ts";
 import type { KnownServer } from "../servers/registry.ts";
-import { createPaceTable } from "../serving/pace.ts";
+import { createLatencyModel } from "../serving/latency_model.ts";
 import { chooseServer } from "./choose.ts";
 import { createObjectCacheModel } from "./object_cache_model.ts";
 import { createRanking } from "./ranking.ts";
@@ -60,7 +60,7 @@
   const ranking = createRanking(registry);
   const cacheModel = createObjectCacheModel();
   const cacheSizes = createCacheSizeEstimator();
-  const pace = createPaceTable();
+  const pace = createLatencyModel();
   const random = createRandom(20261203);
   const servers = new Map<string, TestServer>();
   for (const registered of registry.listUsable("s")) {
@@ -90,10 +90,10 @@
     if (nowMs - run.arrivedAtMs >= ROUTE.timeoutMs) return;
     const tookMs = nowMs - run.sentAtMs;
     if (nowMs - run.arrivedAtMs <= ROUTE.targetLatencyMs) inTime++;
-    pace.note(ROUTE, tookMs, run.utilizationAtStart);
+    pace.recordAnswer(ROUTE, tookMs, run.utilizationAtStart);
     if (run.utilizationAtStart >= 0.8) return;
-    const wasCached = pace.wasKnown(ROUTE, tookMs);
-    pace.noteRun(ROUTE, run.depth, tookMs);
+    const wasCached = pace.wasCached(ROUTE, tookMs);
+    pace.recordUnloadedAnswer(ROUTE, run.depth, tookMs);
     if (run.depth === undefined || wasCached === undefined) return;
     cacheSizes.record("s", run.depth, wasCached);
   }
@@ -122,9 +122,9 @@
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried: new Set(),
-        maxUtilization: pace.getMaxUse(ROUTE),
+        maxUtilization: pace.getMaxUtilization(ROUTE),
         maxCacheMissQueue: limitsCacheMisses
-          ? pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs)
+          ? pace.getMaxCacheMissQueue(ROUTE, ROUTE.timeoutMs)
           : Infinity,
         coldRatePerS: 0,
         hasCachedObject: (id) => hasCachedObject(id, objectKey),
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -10,7 +10,7 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRandom } from "../runtime/random.ts";
 import { createRunTimes } from "../servers/run_times.ts";
-import { createPaceTable } from "../serving/pace.ts";
+import { createLatencyModel } from "../serving/latency_model.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { chooseServer } from "./choose.ts";
 import { createObjectCacheModel } from "./object_cache_model.ts";
@@ -60,7 +60,7 @@
   const ranking = createRanking(registry);
   const cacheModel = createObjectCacheModel();
   const cacheSizes = createCacheSizeEstimator();
-  const pace = createPaceTable();
+  const pace = createLatencyModel();
   const runTimes = createRunTimes();
   const { permits, rateLimits } = createServerLimits({
     clock,
@@ -96,8 +96,8 @@
       {
         candidates: [ranking.rank("s", "oslo", objectKey)],
         tried: new Set(),
-        maxUtilization: pace.getMaxUse(ROUTE),
-        maxCacheMissQueue: pace.getFirstRunQueue(ROUTE, ROUTE.timeoutMs),
+        maxUtilization: pace.getMaxUtilization(ROUTE),
+        maxCacheMissQueue: pace.getMaxCacheMissQueue(ROUTE, ROUTE.timeoutMs),
         coldRatePerS: 0,
         hasCachedObject(id) {
           const depth = cacheModel.getDepth(id, objectName);
@@ -118,11 +118,11 @@
       load.end();
       const nowMs = clock.monotonicMs();
       const tookMs = nowMs - sentAtMs;
-      pace.note(ROUTE, tookMs, utilization);
+      pace.recordAnswer(ROUTE, tookMs, utilization);
       runTimes.note("s", tookMs);
       if (utilization < 0.8) {
-        const wasCached = pace.wasKnown(ROUTE, tookMs);
-        pace.noteRun(ROUTE, depth, tookMs);
+        const wasCached = pace.wasCached(ROUTE, tookMs);
+        pace.recordUnloadedAnswer(ROUTE, depth, tookMs);
         if (wasCached !== undefined && depth !== undefined) {
           cacheSizes.record("s", depth, wasCached);
         }
--- /dev/null
+++ b/src/serving/request_handler.ts
@@ -0,0 +1,382 @@
+/**
+ * Serves a request: selects servers, sends the request, retries it where that
+ * is allowed, and finishes before its deadline.
+ *
+ * A request that isn't idempotent is retried only if its server stated that it
+ * did not run, or if no byte of it can have left this VM.
+ *
+ * @module
+ */
+import type { RateLimiter } from "../limits/limiter.ts";
+import type { ObjectCacheModel } from "../placement/object_cache_model.ts";
+import { makeFingerprint } from "../quarantine/fingerprint.ts";
+import type { SuspectTracker } from "../quarantine/suspect_tracker.ts";
+import { mayRetry, type RequestAssessment } from "../quarantine/types.ts";
+import type { RetryBudget } from "../retries/budget.ts";
+import type { Splitter } from "../routing/split.ts";
+import type { Clock } from "../runtime/clock.ts";
+import type { Random } from "../runtime/random.ts";
+import type { EndCheck } from "../servers/end_check.ts";
+import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
+import type { PermitEnd, ServerPermits } from "../servers/permits.ts";
+import type { Log } from "../telemetry/log.ts";
+import type { DemandMeter } from "./demand_meter.ts";
+import type { Attempt, Exchange } from "./exchange.ts";
+import type { AttemptObserver } from "./attempt_observer.ts";
+import type { LatencyModel } from "./latency_model.ts";
+import type { PlacedAttempt, Placer } from "./placer.ts";
+import { makeObjectName, type RequestProgress } from "./request_progress.ts";
+import {
+  type CallerRequest,
+  type ExchangeResult,
+  MIN_SERVER_ERROR_STATUS,
+  type RefusalReason,
+  type ServerAnswer,
+  type ServeResult,
+} from "./types.ts";
+
+/** Options of a request handler. */
+export interface RequestHandlerOptions {
+  clock: Clock;
+  log: Log;
+  random: Random;
+  registry: ServerRegistry;
+  placer: Placer;
+  observer: AttemptObserver;
+  budget: RetryBudget;
+  splitter: Splitter;
+  demand: DemandMeter;
+  latencyModel: LatencyModel;
+  cacheModel: ObjectCacheModel;
+  exchange: Exchange;
+  crashCheck: EndCheck;
+  suspects: SuspectTracker;
+  permits: ServerPermits;
+  /** Rate limits of client accounts. */
+  limiter: RateLimiter;
+}
+
+/** Handles requests of clients. */
+export interface RequestHandler {
+  /**
+   * @param request The request.
+   * @returns The result for the client; never rejects.
+   */
+  handle(request: CallerRequest): Promise<ServeResult>;
+}
+
+/**
+ * No attempt is made with less time left: a server needs that much to answer.
+ */
+const MIN_ATTEMPT_MS = 20;
+/** Deadline of requests that don't give one. */
+const DEFAULT_DEADLINE_MS = 30_000;
+/** Why a request is not retried. */
+type RetryDenial =
+  | "attempts_used"
+  | "too_late"
+  | "budget_spent"
+  | "servers_ended";
+
+/** @returns The fingerprint of a request, the same for each repeat. */
+function computeFingerprint(request: CallerRequest): string {
+  const { method, headers, path, metadata, caller, body } = request;
+  const { objectKey = "", callerKey = "" } = metadata;
+  // An account may change its keys, so its name identifies the caller.
+  const callerName = caller.kind === "account" ? caller.name : callerKey;
+  return makeFingerprint({
+    method,
+    host: headers.host ?? "",
+    path,
+    caller: `${objectKey} ${callerName}`,
+    body,
+  });
+}
+
+/** Whether an earlier attempt ran or may have run. */
+function mayHaveRun({ fallback, lost }: RequestProgress): boolean {
+  return fallback !== undefined || lost !== undefined;
+}
+
+function toPermitOutcome(result: ExchangeResult): PermitEnd {
+  if (result.kind === "lost") return "lost";
+  if (result.kind === "not_run") return "turned_away";
+  if (result.kind !== "answer") return "not_sent";
+  return result.signals.backoffMs === undefined ? "taken" : "turned_away";
+}
+
+/** How to proceed after an attempt. */
+type NextStep = { kind: "again" } | { kind: "done"; result: ServeResult };
+
+/**
+ * @param options Dependencies.
+ * @returns A request handler.
+ */
+export function createRequestHandler(
+  options: RequestHandlerOptions,
+): RequestHandler {
+  const {
+    clock,
+    log,
+    random,
+    registry,
+    exchange,
+    budget,
+    cacheModel,
+    suspects,
+  } = options;
+
+  async function handle(request: CallerRequest): Promise<ServeResult> {
+    const progress = createProgress(request);
+    const { route } = request;
+    budget.recordRequest(progress.service);
+    options.demand.record(progress.service);
+    for (;;) {
+      if (request.signal.aborted) return { kind: "client_left" };
+      const assessment = suspects.assess(progress.fingerprint);
+      if (assessment.kind === "set_aside") {
+        return refuseSetAside(progress, assessment);
+      }
+      const remainingMs = progress.deadlineAtMs - clock.monotonicMs();
+      if (remainingMs < MIN_ATTEMPT_MS) return giveUp(progress, "too_late");
+      const placed = options.placer.place(progress);
+      if (placed.kind === "not_placed") {
+        return giveUp(progress, placed.reason, placed.retryAfterMs);
+      }
+      if (assessment.kind === "suspect") {
+        suspects.recordProbe(progress.fingerprint);
+      }
+      const step = await runAttempt(progress, placed, remainingMs);
+      if (step.kind === "done") return step.result;
+      if (progress.triedServers.size >= route.maxAttempts) {
+        return giveUp(progress, "not_run_anywhere");
+      }
+    }
+  }
+
+  /** Refuses a request that crashes servers, with the time when it may run. */
+  function refuseSetAside(
+    progress: RequestProgress,
+    { ends, retryAfterMs }: Extract<RequestAssessment, { kind: "set_aside" }>,
+  ): ServeResult {
+    const { request, fingerprint } = progress;
+    const nowMs = clock.monotonicMs();
+    log.info(
+      {
+        requestId: request.metadata.requestId,
+        request: fingerprint,
+        ends: ends.map(({ server, vm, atMs }) => ({
+          server,
+          by: vm,
+          ageMs: Math.round(nowMs - atMs),
+        })),
+        retryAfterMs: Math.round(retryAfterMs),
+      },
+      "set-aside request refused",
+    );
+    return giveUp(progress, "set_aside", retryAfterMs);
+  }
+
+  function createProgress(request: CallerRequest): RequestProgress {
+    const { route, metadata, arrivedAtMs } = request;
+    const deadlineMs = metadata.deadlineMs ?? DEFAULT_DEADLINE_MS;
+    return {
+      request,
+      fingerprint: computeFingerprint(request),
+      service: options.splitter.pickService(route),
+      objectKey: metadata.objectKey ?? `unkeyed ${random()}`,
+      usesObjectCache: metadata.objectKey !== undefined && route.isSticky,
+      deadlineAtMs: arrivedAtMs + Math.min(route.timeoutMs, deadlineMs),
+      triedServers: new Set(),
+      lastUtilization: Infinity,
+      fallback: undefined,
+      lost: undefined,
+    };
+  }
+
+  async function runAttempt(
+    progress: RequestProgress,
+    { server, isCached }: PlacedAttempt,
+    remainingMs: number,
+  ): Promise<NextStep> {
+    const { request } = progress;
+    progress.triedServers.add(server.listed.id);
+    if (request.account !== undefined && mayHaveRun(progress)) {
+      options.limiter.charge(request.account);
+    }
+    const startedAtMs = clock.monotonicMs();
+    const utilizationAtStart = server.load.getUse();
+    progress.lastUtilization = utilizationAtStart;
+    const depth = progress.usesObjectCache
+      ? cacheModel.recordRequest(server.listed.id, makeObjectName(progress))
+      : undefined;
+    server.load.begin();
+    const attempt = exchange.send(
+      server.listed,
+      request,
+      remainingMs,
+      () => registry.isUsable(server) && options.permits.holds(server.listed),
+    );
+    const onClientLeft = () => attempt.abort("client_left");
+    request.signal.addEventListener("abort", onClientLeft);
+    const timer = clock.after(remainingMs, () => attempt.abort("timeout"));
+    const stopWatching = abortWhenSetAside(progress, attempt);
+    const result = await attempt.result;
+    timer.cancel();
+    stopWatching();
+    request.signal.removeEventListener("abort", onClientLeft);
+    const tookMs = clock.monotonicMs() - startedAtMs;
+    options.observer.recordAttempt(progress, server, {
+      result,
+      tookMs,
+      utilizationAtStart,
+      depth,
+      isCached,
+    });
+    server.load.end();
+    options.permits.end(server.listed, toPermitOutcome(result));
+    if (result.kind === "lost" && result.reason === "cut") {
+      const checkDone = recordCut(progress, server);
+      // A request that must not run twice isn't retried, so it doesn't wait.
+      if (request.route.kind === "idempotent") await checkDone;
+    }
+    return evaluateResult(progress, server, result);
+  }
+
+  /**
+   * Aborts an attempt when its request is set aside, unless it must not run
+   * twice. With queues of 0.3 s, each copy still queued at a server would crash
+   * one more server.
+   */
+  function abortWhenSetAside(
+    { request, fingerprint }: RequestProgress,
+    attempt: Attempt,
+  ): () => void {
+    if (request.route.kind === "non_idempotent") return () => {};
+    return suspects.watch(fingerprint, () => attempt.abort("set_aside"));
+  }
+
+  /** Records a crash if the server is gone, not only the connection to it. */
+  async function recordCut(
+    progress: RequestProgress,
+    server: KnownServer,
+  ): Promise<void> {
+    const { request, fingerprint } = progress;
+    const verdict = await options.crashCheck.check(server.listed);
+    log.info(
+      {
+        requestId: request.metadata.requestId,
+        request: fingerprint,
+        method: request.method,
+        path: request.path,
+        server: server.listed.id,
+        service: progress.service,
+        verdict,
+      },
+      "connection cut",
+    );
+    // A draining server would have stopped under any request.
+    if (verdict !== "ended" || !registry.isUsable(server)) return;
+    suspects.recordCrash(fingerprint, server.listed.id);
+  }
+
+  function evaluateResult(
+    progress: RequestProgress,
+    server: KnownServer,
+    result: ExchangeResult,
+  ): NextStep {
+    if (result.kind === "not_sent") return { kind: "again" };
+    if (result.kind === "withdrawn") {
+      progress.triedServers.delete(server.listed.id);
+      return { kind: "again" };
+    }
+    if (result.kind === "answer") {
+      suspects.recordAnswer(progress.fingerprint);
+      return evaluateAnswer(progress, result.answer);
+    }
+    if (result.kind === "not_run") {
+      if (result.reason === "other_server") {
+        registry.markReplaced(server.listed.id);
+      }
+      return retryOrFinish(
+        progress,
+        () => giveUp(progress, "not_run_anywhere"),
+      );
+    }
+    if (result.reason === "client_left") {
+      return { kind: "done", result: { kind: "client_left" } };
+    }
+    progress.lost = result.reason;
+    if (progress.request.route.kind === "non_idempotent") {
+      return { kind: "done", result: giveUp(progress, "too_late") };
+    }
+    return retryOrFinish(progress, () => giveUp(progress, "too_late"));
+  }
+
+  function evaluateAnswer(
+    progress: RequestProgress,
+    answer: ServerAnswer,
+  ): NextStep {
+    const result: ServeResult = { kind: "answer", answer };
+    const isRepeatable = progress.request.route.kind === "idempotent";
+    if (answer.status < MIN_SERVER_ERROR_STATUS || !isRepeatable) {
+      return { kind: "done", result };
+    }
+    progress.fallback = answer;
+    return retryOrFinish(progress, () => result);
+  }
+
+  function retryOrFinish(
+    progress: RequestProgress,
+    getResult: () => ServeResult,
+  ): NextStep {
+    const { request, triedServers, service } = progress;
+    const denial = findRetryDenial(progress);
+    log.info(
+      {
+        requestId: request.metadata.requestId,
+        service,
+        tried: triedServers.size,
+        denial,
+      },
+      denial === undefined ? "retry" : "no retry",
+    );
+    if (denial === undefined) return { kind: "again" };
+    return { kind: "done", result: getResult() };
+  }
+
+  function findRetryDenial(progress: RequestProgress): RetryDenial | undefined {
+    const { request, triedServers, service, fingerprint } = progress;
+    if (triedServers.size >= request.route.maxAttempts) return "attempts_used";
+    if (!mayRetry(suspects.assess(fingerprint))) return "servers_ended";
+    const leftMs = progress.deadlineAtMs - clock.monotonicMs();
+    if (leftMs < MIN_ATTEMPT_MS) return "too_late";
+    return budget.take(service) ? undefined : "budget_spent";
+  }
+
+  function giveUp(
+    progress: RequestProgress,
+    reason: RefusalReason,
+    retryAfterMs?: number,
+  ): ServeResult {
+    if (progress.fallback !== undefined) {
+      return { kind: "answer", answer: progress.fallback };
+    }
+    if (progress.lost === "timeout") return { kind: "timed_out" };
+    if (progress.lost !== undefined) {
+      return { kind: "failed", reason: progress.lost };
+    }
+    const { route } = progress.request;
+    const utilization = reason === "not_run_anywhere"
+      ? progress.lastUtilization
+      : Infinity;
+    return {
+      kind: "refused",
+      reason,
+      retryAfterMs: retryAfterMs ??
+        options.latencyModel.getRetryAfterMs(route, utilization, random()),
+    };
+  }
+
+  return { handle };
+}
