--- a/src/directory/directory.ts
+++ b/src/directory/directory.ts
@@ -18,7 +18,7 @@
   self: VmIdentity;
   ownState: VmState;
   /** Other VMs that serve clients. */
-  othersServing: readonly VmIdentity[];
+  servingPeers: readonly VmIdentity[];
   ttlMs: number;
 }
 
@@ -37,7 +37,7 @@
   view: DirectoryView,
   region: string,
 ): DirectoryAnswer | undefined {
-  const serving = [...view.othersServing];
+  const serving = [...view.servingPeers];
   if (view.ownState === "serving") serving.push(view.self);
   const near = serving.filter((identity) => identity.region === region);
   const chosen = near.length > 0 ? near : serving;
--- a/src/forwarding/deadly_requests.ts
+++ b/src/forwarding/deadly_requests.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type { BackendServer } from "../config/schema.ts";
-import { createNewsBoard } from "../news/board.ts";
+import { createFactStore } from "../news/fact_store.ts";
 import { makeFingerprint } from "../quarantine/fingerprint.ts";
 import { createSuspects } from "../quarantine/suspects.ts";
 import { DEFAULT_MAX_SERVER_ENDS, maySendAgain } from "../quarantine/types.ts";
@@ -47,7 +47,7 @@
   clock: Clock,
   endCheck: EndCheck,
 ): DeadlyRequests {
-  const board = createNewsBoard(clock);
+  const board = createFactStore(clock);
   const ends = new Map<string, { count: number; atMs: number }>();
   const suspects = createSuspects({
     clock,
--- a/src/gateway/core.ts
+++ b/src/gateway/core.ts
@@ -15,9 +15,9 @@
 import type { MemberTable } from "../members/table.ts";
 import type { DemandByRegion, VmIdentity } from "../members/types.ts";
 import type { VmViews } from "../members/views.ts";
-import type { NewsBoard } from "../news/board.ts";
-import type { Knowledge } from "../news/knowledge.ts";
-import type { NewsItem } from "../news/types.ts";
+import type { FactStore } from "../news/fact_store.ts";
+import type { FreshnessTracker } from "../news/freshness.ts";
+import type { FactUpdate } from "../news/types.ts";
 import type { FactVersion } from "../news/version.ts";
 import { createDemandTrend } from "../placement/demand_trend.ts";
 import { createFiguresReader } from "../placement/figures.ts";
@@ -65,12 +65,12 @@
   vms: VmViews;
   memory: ObjectMemory;
   running: RunningRequests;
-  board: NewsBoard;
-  knowledge: Knowledge;
+  board: FactStore;
+  knowledge: FreshnessTracker;
   /** Demand by region where hubs tell of it. */
   getFleetDemand: () => DemandByRegion | undefined;
   /** Passes facts of this VM on to all others. */
-  passOn: (items: NewsItem[]) => void;
+  passOn: (items: FactUpdate[]) => void;
 }
 
 /** The deciding parts of a gateway. */
@@ -266,7 +266,7 @@
 }
 
 /** Whether news of a server are of the start that was listed before. */
-function isSameStart(before: ListedServer, { fact }: NewsItem): boolean {
+function isSameStart(before: ListedServer, { fact }: FactUpdate): boolean {
   return fact?.kind === "server" && fact.server.id === before.id;
 }
 
--- a/src/gateway/fixture.ts
+++ b/src/gateway/fixture.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { VmIdentity } from "../members/types.ts";
-import { CONFIGURATION_KEY, type NewsItem } from "../news/types.ts";
+import { CONFIGURATION_KEY, type FactUpdate } from "../news/types.ts";
 import { makeVersion } from "../news/version.ts";
 import type { Configuration, Route } from "../routing/types.ts";
 import { createRunningRequests } from "../activity/running.ts";
@@ -98,7 +98,7 @@
   server: ListedServer,
   version: number,
   epoch = 0,
-): NewsItem {
+): FactUpdate {
   return {
     topic: "servers",
     key: `server/${server.registeredName}`,
@@ -117,7 +117,7 @@
   configuration: number,
   version: number,
   epoch = 0,
-): NewsItem {
+): FactUpdate {
   return {
     topic: "operations",
     key: CONFIGURATION_KEY,
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -19,16 +19,16 @@
   VmState,
 } from "../members/types.ts";
 import { createVmViews } from "../members/views.ts";
-import { createNewsBoard, type NewsBoard } from "../news/board.ts";
-import { createKnowledge } from "../news/knowledge.ts";
-import { watchKnowledge } from "../news/knowledge_watch.ts";
-import { isOverdue } from "../news/patience.ts";
+import { createFactStore, type FactStore } from "../news/fact_store.ts";
+import { createFreshnessTracker } from "../news/freshness.ts";
+import { startFreshnessMonitor } from "../news/freshness_monitor.ts";
+import { needsFallbackRead } from "../news/fallback_read.ts";
 import {
-  DEFAULT_READER_TIMES,
+  DEFAULT_READER_TIMINGS,
   type Reader,
-  type ReaderParts,
+  type ReaderOptions,
   startReader,
-  STRICT_READER_TIMES,
+  STRICT_READER_TIMINGS,
 } from "../news/reader.ts";
 import {
   CONFIGURATION_KEY,
@@ -91,8 +91,8 @@
   const startedAtMs = clock.monotonicMs();
   const self = makeIdentity(settings, clock);
   const table = createMemberTable(self.id, clock);
-  const board = createNewsBoard(clock);
-  const knowledge = createKnowledge({
+  const board = createFactStore(clock);
+  const knowledge = createFreshnessTracker({
     clock,
     getVersion: () => getConfigurationNumber(board),
   });
@@ -212,17 +212,17 @@
       mesh.sendTo(vmIds, { kind: "activity", scope, ...activity }),
   });
   const readers = startReaders(parts, board, {
-    hasDuty: () => mesh.hasListed() && vms.hasReadDuty(mesh.getTopology()),
-    isOverdue: (ageMs) =>
-      isOverdue(ageMs, {
-        isPlaced: mesh.hasListed(),
+    hasReadDuty: () => mesh.hasListed() && vms.hasReadDuty(mesh.getTopology()),
+    needsFallbackRead: (ageMs) =>
+      needsFallbackRead(ageMs, {
+        hasVmList: mesh.hasListed(),
         isBehindHub: isBehindHub(mesh.getTopology(), self),
-        upMs: clock.monotonicMs() - startedAtMs,
+        uptimeMs: clock.monotonicMs() - startedAtMs,
       }),
-    onNews: (items) => mesh.passOn(items),
+    onUpdates: (items) => mesh.passOn(items),
     onRead: (topic, askedAt) => {
       const isProof = topic === "operations" && provesConfiguration(board);
-      if (isProof) knowledge.noteReading(askedAt);
+      if (isProof) knowledge.recordRead(askedAt);
       mesh.noteRead(topic);
     },
     getInstant: knowledge.getInstant,
@@ -247,7 +247,7 @@
     getDirectoryView: () => ({
       self,
       ownState: updateState(),
-      othersServing: table.listServing(),
+      servingPeers: table.listServing(),
       ttlMs,
     }),
     dumpState: () =>
@@ -269,7 +269,12 @@
   const { withdrawalMs } = settings.accounts;
   const knowledgeWatch = withdrawalMs === undefined
     ? undefined
-    : watchKnowledge({ clock, log, knowledge, maxAgeMs: withdrawalMs });
+    : startFreshnessMonitor({
+      clock,
+      log,
+      freshness: knowledge,
+      maxAgeMs: withdrawalMs,
+    });
   log.info({ ...self }, "started");
 
   return {
@@ -297,7 +302,7 @@
   };
 }
 
-function getConfigurationNumber(board: NewsBoard): number {
+function getConfigurationNumber(board: FactStore): number {
   const fact = board.get(CONFIGURATION_KEY)?.fact;
   return fact?.kind === "configuration" ? fact.configuration.version : 0;
 }
@@ -306,25 +311,32 @@
  * After a restore the source may lack a configuration that no VM has read: until
  * the operator wrote again a reading proves nothing.
  */
-function provesConfiguration(board: NewsBoard): boolean {
-  return !board.isRestored("operations") ||
-    board.isOfLatestEpoch(CONFIGURATION_KEY);
+function provesConfiguration(board: FactStore): boolean {
+  return !board.hasUnsettledRestore("operations") ||
+    board.isFromLatestEpoch(CONFIGURATION_KEY);
 }
 
 function startReaders(
   { source, clock, log, settings }: GatewayParts,
-  board: NewsBoard,
+  board: FactStore,
   duty: Pick<
-    ReaderParts,
-    "hasDuty" | "isOverdue" | "onNews" | "onRead" | "getInstant"
+    ReaderOptions,
+    "hasReadDuty" | "needsFallbackRead" | "onUpdates" | "onRead" | "getInstant"
   >,
 ): Reader[] {
   const isStrict = settings.accounts.withdrawalMs !== undefined;
   return SOURCE_TOPICS.map((topic) => {
     const times = topic === "operations" && isStrict
-      ? STRICT_READER_TIMES
-      : DEFAULT_READER_TIMES;
-    return startReader(topic, { source, board, clock, log, times, ...duty });
+      ? STRICT_READER_TIMINGS
+      : DEFAULT_READER_TIMINGS;
+    return startReader(topic, {
+      source,
+      store: board,
+      clock,
+      log,
+      timings: times,
+      ...duty,
+    });
   });
 }
 
--- a/src/gateway/gauges.ts
+++ b/src/gateway/gauges.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import { getOldestAgeMs, type NewsBoard } from "../news/board.ts";
-import type { Knowledge } from "../news/knowledge.ts";
+import { type FactStore, getOldestAgeMs } from "../news/fact_store.ts";
+import type { FreshnessTracker } from "../news/freshness.ts";
 import { SOURCE_TOPICS } from "../news/types.ts";
 import {
   createServingMetrics,
@@ -24,8 +24,8 @@
  */
 export function createGatewayMetrics(
   core: Core,
-  board: NewsBoard,
-  knowledge: Knowledge,
+  board: FactStore,
+  knowledge: FreshnessTracker,
   countVms: () => number,
 ): ServingMetrics {
   return createServingMetrics({
@@ -39,11 +39,11 @@
     },
     source_epoch: {
       help: "Epoch of the source of facts; rises when it is restored",
-      read: () => board.getEpoch("operations"),
+      read: () => board.getLatestEpoch("operations"),
     },
     source_unsettled: {
       help: "1 while facts that the source lost may be written again",
-      read: () => Number(SOURCE_TOPICS.some(board.isRestored)),
+      read: () => Number(SOURCE_TOPICS.some(board.hasUnsettledRestore)),
     },
     knowledge_age_seconds: {
       help: "Proven age of what is known of the configuration",
--- a/src/gateway/state_dump.ts
+++ b/src/gateway/state_dump.ts
@@ -5,8 +5,8 @@
  */
 import type { MemberTable } from "../members/table.ts";
 import type { VmIdentity, VmState } from "../members/types.ts";
-import type { NewsBoard } from "../news/board.ts";
-import type { Knowledge } from "../news/knowledge.ts";
+import type { FactStore } from "../news/fact_store.ts";
+import type { FreshnessTracker } from "../news/freshness.ts";
 import { CONFIGURATION_KEY, SOURCE_TOPICS } from "../news/types.ts";
 import type { Configuration } from "../routing/types.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
@@ -19,8 +19,8 @@
 export interface StateDumpParts {
   self: VmIdentity;
   state: VmState;
-  board: NewsBoard;
-  knowledge: Knowledge;
+  board: FactStore;
+  knowledge: FreshnessTracker;
   table: MemberTable;
   core: Core;
   openRequests: number;
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -2,8 +2,8 @@
 import { test } from "uvu";
 import { setTimeout as sleep } from "node:timers/promises";
 import { makeServer, makeServerNews } from "../gateway/fixture.ts";
-import { createNewsBoard } from "../news/board.ts";
-import { createKnowledge } from "../news/knowledge.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import { createFreshnessTracker } from "../news/freshness.ts";
 import { toEndNews } from "../quarantine/suspect_facts.ts";
 import { createSystemClock } from "../runtime/clock.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
@@ -36,7 +36,7 @@
 
 async function startVm(index: number, register: VmRegister) {
   const http = await listen(createRouter(), "127.0.0.1:0");
-  const board = createNewsBoard(clock);
+  const board = createFactStore(clock);
   const region = REGIONS[index % REGIONS.length];
   const self: VmIdentity = {
     id: `vm-${index}`,
@@ -55,7 +55,7 @@
     self,
     table,
     board,
-    knowledge: createKnowledge({ clock, getVersion: () => 0 }),
+    knowledge: createFreshnessTracker({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
     register,
     clock,
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import type { Server } from "node:http";
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import {
-  type NewsItem,
+  type FactUpdate,
   type SourceTopic,
   type Topic,
   TOPICS,
 } from "../news/types.ts";
-import type { Knowledge } from "../news/knowledge.ts";
+import type { FreshnessTracker } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
@@ -43,8 +43,8 @@
 export interface MeshParts extends PayloadListeners {
   self: VmIdentity;
   table: MemberTable;
-  board: NewsBoard;
-  knowledge: Knowledge;
+  board: FactStore;
+  knowledge: FreshnessTracker;
   /** Whether anything hangs on how old knowledge is. */
   needsProofs: () => boolean;
   register: VmRegister;
@@ -65,7 +65,7 @@
 /** The links of this VM. */
 export interface Mesh {
   /** Passes facts on to every VM that is linked. */
-  passOn(items: NewsItem[]): void;
+  passOn(items: FactUpdate[]): void;
   /** Tells every VM that is linked of rate limits of servers. */
   tellServerRateLimits(rates: RateLimitNews[]): void;
   /** Tells every VM that this one read a topic from its source. */
@@ -247,7 +247,7 @@
     { topic, digest, isOwn }: Extract<VmMessage, { kind: "read" }>,
   ): void {
     if (repair.compare(state.facts, topic, digest)) return;
-    board.noteCurrent(topic, 0);
+    board.recordComplete(topic, 0);
     // Told on once only: passed back and forth it would stay current for ever.
     if (isOwn && !dialing.getTopology().isFullMesh && dialing.actsAsHub()) {
       tellRead(topic, false);
@@ -302,7 +302,7 @@
     ...parts,
     listAfterMs,
     countKnown: () => table.countKnown(),
-    getEpoch: () => board.getEpoch("operations"),
+    getEpoch: () => board.getLatestEpoch("operations"),
     isWanted: mayKnowTooFew,
     isAlone: links.isEmpty,
     onListed: (members) => {
--- a/src/members/mesh_test.ts
+++ b/src/members/mesh_test.ts
@@ -3,8 +3,8 @@
 import { test } from "uvu";
 import type { Activity, ActivityScope } from "../activity/types.ts";
 import { makeServer, makeServerNews } from "../gateway/fixture.ts";
-import { createNewsBoard } from "../news/board.ts";
-import { createKnowledge } from "../news/knowledge.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import { createFreshnessTracker } from "../news/freshness.ts";
 import { createSystemClock } from "../runtime/clock.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
 import { keepLink, type PeerLink } from "../runtime/peer_link.ts";
@@ -14,7 +14,7 @@
 import { createMemberTable } from "./table.ts";
 import type { TopicDigest } from "../news/types.ts";
 import { type VmIdentity, VmRegister } from "./types.ts";
-import { packNews } from "../news/wire_form.ts";
+import { encodeUpdates } from "../news/wire_format.ts";
 import { makeVersion } from "../news/version.ts";
 
 const clock = createSystemClock();
@@ -43,14 +43,14 @@
 
 async function startTestMesh() {
   const http = await listen(createRouter(), "127.0.0.1:0");
-  const board = createNewsBoard(clock);
+  const board = createFactStore(clock);
   const found: string[] = [];
   const told: { id: string; scope: ActivityScope; activity: Activity }[] = [];
   const mesh = startMesh({
     self: makeIdentity("self", http.address),
     table: createMemberTable("self", clock),
     board,
-    knowledge: createKnowledge({ clock, getVersion: () => 0 }),
+    knowledge: createFreshnessTracker({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
     register: new EmptyRegister(),
     clock,
@@ -192,7 +192,7 @@
   await waitUntil(() => countAsks() === 1);
   link.send({
     kind: "news",
-    items: packNews([makeServerNews(makeServer("2"), 6)]),
+    items: encodeUpdates([makeServerNews(makeServer("2"), 6)]),
   });
   await waitUntil(() => board.getDigest("servers").versionSum === 7);
   link.close();
--- a/src/members/messages.ts
+++ b/src/members/messages.ts
@@ -5,7 +5,7 @@
  */
 import * as z from "zod";
 import { usageSchema } from "../limits/usage_form.ts";
-import { newsItemSchema } from "../news/schema.ts";
+import { factUpdateSchema } from "../news/schema.ts";
 
 const MAX_MEMBERS = 4_096;
 const MAX_ITEMS = 10_000;
@@ -154,7 +154,7 @@
   /** Facts that the receiver may not know, and the epochs they refer to. */
   z.object({
     kind: z.literal("news"),
-    items: z.array(newsItemSchema).max(MAX_ITEMS),
+    items: z.array(factUpdateSchema).max(MAX_ITEMS),
     epochs: z.object({
       operations: epochStartsSchema,
       servers: epochStartsSchema,
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -7,14 +7,14 @@
 import type { Activity, ActivityScope } from "../activity/types.ts";
 import { unpackUsage } from "../limits/usage_form.ts";
 import type { UsageNews } from "../limits/usage_sharing.ts";
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import {
   CONFIGURATION_KEY,
-  type NewsItem,
+  type FactUpdate,
   SOURCE_TOPICS,
   type Topic,
 } from "../news/types.ts";
-import { packNews, unpackNews } from "../news/wire_form.ts";
+import { decodeUpdates, encodeUpdates } from "../news/wire_format.ts";
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
@@ -52,14 +52,14 @@
  * @returns The message that tells them.
  */
 export function makeNewsMessage(
-  board: NewsBoard,
-  items: readonly NewsItem[],
+  board: FactStore,
+  items: readonly FactUpdate[],
 ): NewsMessage {
   const epochs = {
     operations: board.listEpochs("operations"),
     servers: board.listEpochs("servers"),
   };
-  return { kind: "news", items: packNews(items), epochs };
+  return { kind: "news", items: encodeUpdates(items), epochs };
 }
 
 /**
@@ -67,7 +67,7 @@
  * @param topic A topic.
  * @returns The message that tells all of it.
  */
-export function makeTopicMessage(board: NewsBoard, topic: Topic): NewsMessage {
+export function makeTopicMessage(board: FactStore, topic: Topic): NewsMessage {
   const message = makeNewsMessage(board, board.listTopic(topic));
   const isWhole = topic !== "suspects" && board.isComplete(topic);
   return isWhole ? { ...message, whole: topic } : message;
@@ -75,7 +75,7 @@
 
 /** What receiving needs. */
 export interface PayloadParts extends PayloadListeners {
-  board: NewsBoard;
+  board: FactStore;
   links: LinkSet;
   log: Log;
   /** Whether VMs hear of what others told by way of this one. */
@@ -108,18 +108,18 @@
     { items, epochs, whole }: NewsMessage,
   ): void {
     for (const topic of SOURCE_TOPICS) {
-      board.noteEpochs(topic, epochs?.[topic] ?? []);
+      board.recordEpochs(topic, epochs?.[topic] ?? []);
     }
-    const told = unpackNews(items, board.getEpoch);
+    const told = decodeUpdates(items, board.getLatestEpoch);
     const news = whole === undefined
       ? board.apply(told)
-      : board.applySettled(whole, told);
+      : board.applyPeerSnapshot(whole, told);
     if (news.length === 0) return;
     logConfiguration(link, news);
     passOn(link, makeNewsMessage(board, news));
   }
 
-  function logConfiguration(link: VmLink, news: readonly NewsItem[]): void {
+  function logConfiguration(link: VmLink, news: readonly FactUpdate[]): void {
     const told = news.find(({ key }) => key === CONFIGURATION_KEY);
     if (told === undefined) return;
     const from = links.get(link)?.identity?.id ?? link.peer;
--- a/src/members/proofs.ts
+++ b/src/members/proofs.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import type { Instant, Knowledge, Proof } from "../news/knowledge.ts";
+import type { FreshnessTracker, Instant, Proof } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 
@@ -25,7 +25,7 @@
 export interface ProofTellerParts {
   clock: Clock;
   links: LinkSet;
-  knowledge: Knowledge;
+  knowledge: FreshnessTracker;
   /** Whether anything hangs on how old knowledge is. */
   isNeeded: () => boolean;
   /** Whether what others prove is told on. */
@@ -104,7 +104,7 @@
     receiveProof(link, { configuration, ageMs, stamp, heldMs }) {
       if (configuration === undefined) return;
       const proof = { version: configuration, ageMs, stamp, heldMs };
-      const isNews = knowledge.noteProof(proof);
+      const isNews = knowledge.recordProof(proof);
       if (isNews && parts.isRelay()) tell(link);
     },
     tell,
--- a/src/members/proofs_test.ts
+++ b/src/members/proofs_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { createKnowledge } from "../news/knowledge.ts";
+import { createFreshnessTracker } from "../news/freshness.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createLinkSet, type VmLink } from "./link_set.ts";
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
@@ -8,7 +8,7 @@
 
 function startVm(configuration: number) {
   const clock = createFakeClock();
-  const knowledge = createKnowledge({
+  const knowledge = createFreshnessTracker({
     clock,
     getVersion: () => configuration,
   });
@@ -33,7 +33,7 @@
 function answer() {
   const reader = startVm(7);
   const asking = startVm(7);
-  reader.knowledge.noteReading(reader.knowledge.getInstant());
+  reader.knowledge.recordRead(reader.knowledge.getInstant());
   const { stamp } = asking.teller.makeQuestion();
   reader.teller.receiveQuestion(reader.link, { stamp });
   const [message] = reader.sent;
--- a/src/members/repair.ts
+++ b/src/members/repair.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import { isSameDigest, type Topic, type TopicDigest } from "../news/types.ts";
 import type { EpochStart } from "../news/version.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -33,7 +33,7 @@
 
 /** What a repair needs. */
 export interface FactRepairParts {
-  board: NewsBoard;
+  board: FactStore;
   clock: Clock;
   log: Log;
 }
@@ -84,7 +84,7 @@
   return {
     compare(other, topic, digest) {
       const startedLater = knowsEarlier(digest, board.listEpochs(topic));
-      board.noteEpochs(topic, digest.epochs ?? []);
+      board.recordEpochs(topic, digest.epochs ?? []);
       const own = board.getDigest(topic);
       const since = getSince(other);
       if (isSameDigest(own, digest)) {
--- a/src/members/repair_test.ts
+++ b/src/members/repair_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { makeServer, makeServerNews } from "../gateway/fixture.ts";
-import { createNewsBoard } from "../news/board.ts";
+import { createFactStore } from "../news/fact_store.ts";
 import type { Topic } from "../news/types.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
@@ -11,7 +11,7 @@
 
 function startRepair() {
   const clock = createFakeClock();
-  const board = createNewsBoard(clock);
+  const board = createFactStore(clock);
   const repair = createFactRepair({ board, clock, log: createSilentLog() });
   const asked: Topic[] = [];
   const peer = { peer: "a", ask: (topic: Topic) => void asked.push(topic) };
@@ -60,7 +60,7 @@
 
 test("a VM that began after a restore asks one that has lived through it", () => {
   const { board, repair, asked, peer } = startRepair();
-  board.noteEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
+  board.recordEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
   board.apply([makeServerNews(makeServer("1"), 40, 2)]);
   const epochs = [
     { epoch: 1, copiedThrough: 0, isSettled: true },
--- a/src/news/settling.ts
+++ b/src/news/epoch_settlement.ts
@@ -5,10 +5,10 @@
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import type { NewsBoard } from "./board.ts";
+import type { FactStore } from "./fact_store.ts";
 import {
   CONFIGURATION_KEY,
-  type NewsBatch,
+  type FactBatch,
   type SourceTopic,
 } from "./types.ts";
 
@@ -24,18 +24,18 @@
 const OLDER_CONFIGURATION_MS = 60_000;
 
 /** Follows one epoch of a topic after the other. */
-export interface Settling {
+export interface EpochSettlement {
   /** Notes that the source answered. */
-  noteAnswer(): void;
+  recordAnswer(): void;
   /** Notes that it didn't, so that writers may not have reached it either. */
-  noteFailure(): void;
+  recordFailure(): void;
   /** @returns Whether to list the topic in order to settle its epoch. */
   isDue(): boolean;
   /**
    * @param batch What was listed while that was due.
    * @returns Whether it settles its epoch.
    */
-  settles(batch: NewsBatch): boolean;
+  settlesEpoch(batch: FactBatch): boolean;
 }
 
 /**
@@ -44,11 +44,11 @@
  * @param clock The clock.
  * @returns Settling of a source that has not answered.
  */
-export function createSettling(
+export function createEpochSettlement(
   topic: SourceTopic,
-  board: NewsBoard,
+  board: FactStore,
   clock: Clock,
-): Settling {
+): EpochSettlement {
   let epoch: number | undefined;
   let answeringSinceMs: number | undefined;
   let triedAtMs = -Infinity;
@@ -60,7 +60,7 @@
   }
 
   /** Whether the operator has yet to write the configuration in force again. */
-  function isOlder(batch: NewsBatch): boolean {
+  function isOlder(batch: FactBatch): boolean {
     const listed = batch.items.find(({ key }) => key === CONFIGURATION_KEY);
     const known = board.get(CONFIGURATION_KEY);
     return listed?.fact?.kind === "configuration" &&
@@ -69,23 +69,23 @@
   }
 
   return {
-    noteAnswer() {
-      const latest = board.getEpoch(topic);
+    recordAnswer() {
+      const latest = board.getLatestEpoch(topic);
       if (latest === epoch && answeringSinceMs !== undefined) return;
       epoch = latest;
       answeringSinceMs = clock.monotonicMs();
     },
-    noteFailure() {
+    recordFailure() {
       answeringSinceMs = undefined;
     },
     isDue() {
-      if (epoch !== board.getEpoch(topic) || board.isSettled(topic)) {
+      if (epoch !== board.getLatestEpoch(topic) || board.isSettled(topic)) {
         return false;
       }
       const sinceTryMs = clock.monotonicMs() - triedAtMs;
       return getAnsweringMs() >= SETTLE_MS && sinceTryMs >= SETTLE_MS;
     },
-    settles(batch) {
+    settlesEpoch(batch) {
       triedAtMs = clock.monotonicMs();
       if (batch.version.epoch !== epoch) return false;
       return getAnsweringMs() >= OLDER_CONFIGURATION_MS || !isOlder(batch);
--- a/src/news/settling_test.ts
+++ b/src/news/epoch_settlement_test.ts
@@ -2,25 +2,29 @@
 import { test } from "uvu";
 import { makeConfigurationNews } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
-import { createNewsBoard } from "./board.ts";
-import { createSettling } from "./settling.ts";
+import { createFactStore } from "./fact_store.ts";
+import { createEpochSettlement } from "./epoch_settlement.ts";
 import { makeVersion } from "./version.ts";
 
 function startSettling() {
   const clock = createFakeClock();
-  const board = createNewsBoard(clock);
-  board.noteEpochs("operations", [
+  const board = createFactStore(clock);
+  board.recordEpochs("operations", [
     { epoch: 1, copiedThrough: 0, isSettled: true },
     { epoch: 2, copiedThrough: 50 },
   ]);
   board.apply([makeConfigurationNews(6, 60, 1)]);
-  return { clock, board, settling: createSettling("operations", board, clock) };
+  return {
+    clock,
+    board,
+    settling: createEpochSettlement("operations", board, clock),
+  };
 }
 
 test("an epoch is settled after it has answered for a while", () => {
   const { clock, settling } = startSettling();
   assert.not(settling.isDue());
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(4_900);
   assert.not(settling.isDue());
   clock.advance(100);
@@ -29,29 +33,29 @@
 
 test("a source that is lost meanwhile begins the time anew", () => {
   const { clock, settling } = startSettling();
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(4_000);
-  settling.noteFailure();
-  settling.noteAnswer();
+  settling.recordFailure();
+  settling.recordAnswer();
   clock.advance(4_000);
   assert.not(settling.isDue());
 });
 
 test("another restore begins the time anew", () => {
   const { clock, board, settling } = startSettling();
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(4_000);
-  board.noteEpochs("operations", [{ epoch: 3, copiedThrough: 52 }]);
-  settling.noteAnswer();
+  board.recordEpochs("operations", [{ epoch: 3, copiedThrough: 52 }]);
+  settling.recordAnswer();
   clock.advance(4_000);
   assert.not(settling.isDue());
 });
 
 test("what another VM settled is not listed again", () => {
   const { clock, board, settling } = startSettling();
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(5_000);
-  board.noteEpochs("operations", [{
+  board.recordEpochs("operations", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
@@ -65,23 +69,23 @@
     items: [makeConfigurationNews(5, 50, 2)],
     version: makeVersion(70, 2),
   };
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(5_000);
-  assert.not(settling.settles(older));
+  assert.not(settling.settlesEpoch(older));
   assert.not(settling.isDue(), "tried just now");
   clock.advance(5_000);
   assert.ok(settling.isDue());
   clock.advance(50_000);
-  assert.ok(settling.settles(older));
+  assert.ok(settling.settlesEpoch(older));
 });
 
 test("a list that a further restore answers settles nothing", () => {
   const { clock, settling } = startSettling();
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(5_000);
   assert.ok(settling.isDue());
   const items = [makeConfigurationNews(6, 45, 3)];
-  assert.not(settling.settles({ items, version: makeVersion(52, 3) }));
+  assert.not(settling.settlesEpoch({ items, version: makeVersion(52, 3) }));
 });
 
 test("a configuration that was written again settles the epoch", () => {
@@ -90,9 +94,9 @@
     items: [makeConfigurationNews(6, 55, 2)],
     version: makeVersion(70, 2),
   };
-  settling.noteAnswer();
+  settling.recordAnswer();
   clock.advance(5_000);
-  assert.ok(settling.settles(again));
+  assert.ok(settling.settlesEpoch(again));
 });
 
 test.run();
--- a/src/news/epochs.ts
+++ b/src/news/epochs.ts
@@ -10,16 +10,16 @@
  * @module
  */
 import type { ListedServer } from "../servers/types.ts";
-import type { NewsItem } from "./types.ts";
+import type { FactUpdate } from "./types.ts";
 import type { EpochStart, FactVersion } from "./version.ts";
 
 /** Epochs of one source. */
-export interface Epochs {
+export interface EpochTracker {
   /**
    * @param starts What this VM or another one found out.
    * @returns Whether anything of it was new.
    */
-  note(starts: readonly EpochStart[]): boolean;
+  record(starts: readonly EpochStart[]): boolean;
   /** @returns The latest epoch that is known; 0 where none is. */
   getLatest(): number;
   /** @returns All starts that still matter, for other VMs. */
@@ -27,16 +27,16 @@
   /** @returns The latest epoch that is settled; 0 where none is. */
   getSettled(): number;
   /** @returns The epoch in which a version was written, as far as is known. */
-  getOrigin(version: FactVersion): number;
+  getOriginEpoch(version: FactVersion): number;
   /** @returns Whether news are newer than what is known under their key. */
-  isNewer(news: NewsItem, known: NewsItem): boolean;
+  isNewer(news: FactUpdate, known: FactUpdate): boolean;
 }
 
 /** Restores that may follow each other before the first of them is settled. */
 const MAX_STARTS = 8;
 
 /** @returns Epochs of a source that named none. */
-export function createEpochs(): Epochs {
+export function createEpochTracker(): EpochTracker {
   /** Ascending by epoch. */
   let starts: EpochStart[] = [];
 
@@ -77,11 +77,11 @@
   }
 
   return {
-    note: (added) => added.map(noteOne).includes(true),
+    record: (added) => added.map(noteOne).includes(true),
     getLatest: () => starts.at(-1)?.epoch ?? 0,
     list: () => starts,
     getSettled,
-    getOrigin,
+    getOriginEpoch: getOrigin,
     isNewer(news, known) {
       const [a, b] = [news.version, known.version];
       if (a.epoch === b.epoch) return a.number > b.number;
@@ -111,7 +111,10 @@
  * source: a configuration carries a number that its author raises, and a start
  * of a server that drains is never ready again.
  */
-function compareContents({ fact: a }: NewsItem, { fact: b }: NewsItem): number {
+function compareContents(
+  { fact: a }: FactUpdate,
+  { fact: b }: FactUpdate,
+): number {
   if (a?.kind === "configuration" && b?.kind === "configuration") {
     return a.configuration.version - b.configuration.version;
   }
--- a/src/news/epochs_test.ts
+++ b/src/news/epochs_test.ts
@@ -6,15 +6,15 @@
   makeServer,
   makeServerNews,
 } from "../gateway/fixture.ts";
-import { createEpochs } from "./epochs.ts";
-import type { NewsItem } from "./types.ts";
+import { createEpochTracker } from "./epochs.ts";
+import type { FactUpdate } from "./types.ts";
 import { type EpochStart, makeVersion } from "./version.ts";
 
-function makeNews(number: number, epoch: number): NewsItem {
+function makeNews(number: number, epoch: number): FactUpdate {
   return makeServerNews(makeServer("1"), number, epoch);
 }
 
-function makeDrainingNews(number: number, epoch: number): NewsItem {
+function makeDrainingNews(number: number, epoch: number): FactUpdate {
   const server = makeServer("1", { state: "draining" });
   return makeServerNews(server, number, epoch);
 }
@@ -25,13 +25,13 @@
 ];
 
 function createRestored() {
-  const epochs = createEpochs();
-  epochs.note(RESTORED);
+  const epochs = createEpochTracker();
+  epochs.record(RESTORED);
   return epochs;
 }
 
 // [what is told, what is known, whether that is news, title]
-const orders: [NewsItem, NewsItem, boolean, string][] = [
+const orders: [FactUpdate, FactUpdate, boolean, string][] = [
   [makeNews(9, 1), makeNews(8, 1), true, "a later number of one epoch"],
   [makeNews(51, 2), makeNews(60, 1), true, "a write after the restore"],
   [makeNews(50, 2), makeNews(60, 1), false, "what the copy had"],
@@ -73,7 +73,7 @@
 
 test("once settled all that is listed holds, however old it looks", () => {
   const epochs = createRestored();
-  epochs.note([{ epoch: 2, copiedThrough: 0, isSettled: true }]);
+  epochs.record([{ epoch: 2, copiedThrough: 0, isSettled: true }]);
   assert.ok(epochs.isNewer(makeNews(3, 2), makeNews(60, 1)));
   assert.not(epochs.isNewer(makeNews(60, 1), makeNews(3, 2)));
   const older = makeConfigurationNews(5, 45, 2);
@@ -82,35 +82,35 @@
 
 test("two restores in a row leave the newest fact in place", () => {
   const epochs = createRestored();
-  epochs.note([{ epoch: 3, copiedThrough: 55 }]);
+  epochs.record([{ epoch: 3, copiedThrough: 55 }]);
   assert.not(epochs.isNewer(makeNews(50, 3), makeNews(60, 1)));
   assert.ok(epochs.isNewer(makeNews(54, 3), makeNews(60, 1)), "of epoch 2");
   assert.ok(epochs.isNewer(makeNews(56, 3), makeNews(54, 2)));
 });
 
 test("an epoch that nobody saw changes nothing", () => {
-  const epochs = createEpochs();
-  epochs.note([RESTORED[0], { epoch: 4, copiedThrough: 50 }]);
+  const epochs = createEpochTracker();
+  epochs.record([RESTORED[0], { epoch: 4, copiedThrough: 50 }]);
   assert.not(epochs.isNewer(makeNews(45, 4), makeNews(60, 1)));
   assert.ok(epochs.isNewer(makeNews(51, 4), makeNews(60, 1)));
 });
 
 test("the lowest start that any VM read holds; earlier epochs are over", () => {
   const epochs = createRestored();
-  assert.not(epochs.note([{ epoch: 2, copiedThrough: 55 }]));
-  assert.ok(epochs.note([{ epoch: 2, copiedThrough: 48 }]));
-  assert.is(epochs.getOrigin(makeVersion(49, 2)), 2);
-  assert.ok(epochs.note([{ epoch: 3, copiedThrough: 0, isSettled: true }]));
+  assert.not(epochs.record([{ epoch: 2, copiedThrough: 55 }]));
+  assert.ok(epochs.record([{ epoch: 2, copiedThrough: 48 }]));
+  assert.is(epochs.getOriginEpoch(makeVersion(49, 2)), 2);
+  assert.ok(epochs.record([{ epoch: 3, copiedThrough: 0, isSettled: true }]));
   assert.equal(epochs.list(), [{
     epoch: 3,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.not(epochs.note(RESTORED));
+  assert.not(epochs.record(RESTORED));
 });
 
 test("a source that names no epoch orders by its numbers", () => {
-  const epochs = createEpochs();
+  const epochs = createEpochTracker();
   assert.ok(epochs.isNewer(makeNews(2, 0), makeNews(1, 0)));
   assert.is(epochs.getLatest(), 0);
   assert.is(epochs.getSettled(), 0);
@@ -131,19 +131,19 @@
   );
   fc.assert(
     fc.property(starts, fc.array(versions, { minLength: 1 }), (all, told) => {
-      const epochs = createEpochs();
-      epochs.note(all);
-      const other = createEpochs();
-      for (const start of all.toReversed()) other.note([start]);
+      const epochs = createEpochTracker();
+      epochs.record(all);
+      const other = createEpochTracker();
+      for (const start of all.toReversed()) other.record([start]);
       const items = told.map(({ epoch, number }) => makeNews(number, epoch));
-      const keep = (known: NewsItem, news: NewsItem) =>
+      const keep = (known: FactUpdate, news: FactUpdate) =>
         epochs.isNewer(news, known) ? news : known;
-      const keepOther = (known: NewsItem, news: NewsItem) =>
+      const keepOther = (known: FactUpdate, news: FactUpdate) =>
         other.isNewer(news, known) ? news : known;
       const one = items.reduce(keep).version;
       const two = items.toReversed().reduce(keepOther).version;
       assert.is(one.number, two.number);
-      assert.is(epochs.getOrigin(one), other.getOrigin(two));
+      assert.is(epochs.getOriginEpoch(one), other.getOriginEpoch(two));
     }),
   );
 });
--- a/src/news/board.ts
+++ b/src/news/fact_store.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import { createEpochs, type Epochs } from "./epochs.ts";
+import { createEpochTracker, type EpochTracker } from "./epochs.ts";
 import {
   type Fact,
-  type NewsBatch,
-  type NewsItem,
+  type FactBatch,
+  type FactUpdate,
   SOURCE_TOPICS,
   type Topic,
   type TopicDigest,
@@ -17,17 +17,20 @@
 import { type EpochStart, type FactVersion, makeVersion } from "./version.ts";
 
 /** Told of each fact that changed. */
-export type NewsListener = (item: NewsItem, previous: Fact | undefined) => void;
+export type FactListener = (
+  item: FactUpdate,
+  previous: Fact | undefined,
+) => void;
 
 /** The facts of one VM. */
-export interface NewsBoard {
+export interface FactStore {
   /**
    * Takes changes in.
    *
    * @param items Facts from any source, in any order.
    * @returns Those that were new to this VM.
    */
-  apply(items: readonly NewsItem[]): NewsItem[];
+  apply(items: readonly FactUpdate[]): FactUpdate[];
   /**
    * Takes a whole topic in: what it does not list is removed, except facts of
    * earlier epochs while what it lists may stem from a copy.
@@ -36,7 +39,7 @@
    * @param batch All its facts as of one moment.
    * @returns Those that were new to this VM, removals among them.
    */
-  applyWhole(topic: Topic, batch: NewsBatch): NewsItem[];
+  applySnapshot(topic: Topic, batch: FactBatch): FactUpdate[];
   /**
    * Takes a topic in as another VM knows it, which knows all of it. Facts that
    * it lacks and that are older than the settled epoch were lost.
@@ -45,35 +48,35 @@
    * @param items All facts of the other VM.
    * @returns Those that were new to this VM, removals among them.
    */
-  applySettled(topic: Topic, items: readonly NewsItem[]): NewsItem[];
+  applyPeerSnapshot(topic: Topic, items: readonly FactUpdate[]): FactUpdate[];
   /** @returns All facts and removals of a topic, for a VM that lacks some. */
-  listTopic(topic: Topic): NewsItem[];
+  listTopic(topic: Topic): FactUpdate[];
   /**
    * @param key A key.
    * @returns What is known under it.
    */
-  get(key: string): NewsItem | undefined;
+  get(key: string): FactUpdate | undefined;
   /**
    * Notes when epochs of a topic's source began.
    *
    * @returns Whether anything of it was new.
    */
-  noteEpochs(topic: Topic, starts: readonly EpochStart[]): boolean;
+  recordEpochs(topic: Topic, starts: readonly EpochStart[]): boolean;
   /** @returns Those that still matter. */
   listEpochs(topic: Topic): EpochStart[];
   /** @returns The latest epoch of a topic's source; 0 where none is known. */
-  getEpoch(topic: Topic): number;
+  getLatestEpoch(topic: Topic): number;
   /** @returns Whether that epoch is settled; true where none is known. */
   isSettled(topic: Topic): boolean;
   /**
    * @returns Whether the source was restored so lately that facts may be lost
    *   which this VM never read.
    */
-  isRestored(topic: Topic): boolean;
+  hasUnsettledRestore(topic: Topic): boolean;
   /** @returns Whether this VM knows all facts of a topic, of no lost epoch. */
   isComplete(topic: Topic): boolean;
   /** @returns Whether a fact was written in the latest epoch of its source. */
-  isOfLatestEpoch(key: string): boolean;
+  isFromLatestEpoch(key: string): boolean;
   /** @returns What tells this board's facts of a topic from another's. */
   getDigest(topic: Topic): TopicDigest;
   /** @returns The digests of all topics. */
@@ -84,14 +87,14 @@
    * @param topic The topic.
    * @param ageMs How long ago.
    */
-  noteCurrent(topic: Topic, ageMs: number): void;
+  recordComplete(topic: Topic, ageMs: number): void;
   /**
    * @param topic The topic.
    * @returns How long ago its facts were known to be complete.
    */
   getAgeMs(topic: Topic): number;
   /** Registers who is told of changes, in order. */
-  subscribe(listener: NewsListener): void;
+  subscribe(listener: FactListener): void;
 }
 
 /**
@@ -104,12 +107,12 @@
 const COMPLETE_MS = 1_500;
 
 interface Known {
-  item: NewsItem;
+  item: FactUpdate;
   sinceMs: number;
 }
 
 interface TopicState {
-  epochs: Epochs;
+  epochs: EpochTracker;
   digest: TopicDigest | undefined;
 }
 
@@ -117,18 +120,18 @@
  * @param clock The clock.
  * @returns A board with no facts.
  */
-export function createNewsBoard(clock: Clock): NewsBoard {
+export function createFactStore(clock: Clock): FactStore {
   const known = new Map<string, Known>();
   const currentAtMs = new Map<Topic, number>();
   const topics = new Map<Topic, TopicState>(
     TOPICS.map((topic) => [topic, {
-      epochs: createEpochs(),
+      epochs: createEpochTracker(),
       digest: undefined,
     }]),
   );
-  const listeners: NewsListener[] = [];
+  const listeners: FactListener[] = [];
 
-  function getEpochs(topic: Topic): Epochs {
+  function getEpochs(topic: Topic): EpochTracker {
     return topics.get(topic)!.epochs;
   }
 
@@ -147,7 +150,7 @@
     return state.digest ??= makeDigest(topic, state.epochs);
   }
 
-  function makeDigest(topic: Topic, epochs: Epochs): TopicDigest {
+  function makeDigest(topic: Topic, epochs: EpochTracker): TopicDigest {
     let facts = 0;
     let versionSum = 0;
     let epochSum = 0;
@@ -155,14 +158,14 @@
       if (item.topic !== topic || item.fact === undefined) continue;
       facts++;
       versionSum += item.version.number;
-      epochSum += epochs.getOrigin(item.version);
+      epochSum += epochs.getOriginEpoch(item.version);
     }
     const starts = epochs.list();
     if (starts.length === 0) return { facts, versionSum };
     return { facts, versionSum, epochSum, epochs: starts };
   }
 
-  function applyOne(item: NewsItem): boolean {
+  function applyOne(item: FactUpdate): boolean {
     const previous = known.get(item.key);
     const state = topics.get(item.topic)!;
     const isNewer = previous === undefined
@@ -178,19 +181,22 @@
     return true;
   }
 
-  function apply(items: readonly NewsItem[]): NewsItem[] {
+  function apply(items: readonly FactUpdate[]): FactUpdate[] {
     forgetOldRemovals();
     return items.filter(applyOne);
   }
 
-  function applyWhole(topic: Topic, batch: NewsBatch): NewsItem[] {
+  function applyWhole(topic: Topic, batch: FactBatch): FactUpdate[] {
     const missing = listMissing(topic, batch.items)
       .filter((item) => covers(topic, batch.version, item.version));
     const removals = missing.map((item) => remove(item, batch.version));
     return apply([...batch.items, ...removals]);
   }
 
-  function applySettled(topic: Topic, items: readonly NewsItem[]): NewsItem[] {
+  function applySettled(
+    topic: Topic,
+    items: readonly FactUpdate[],
+  ): FactUpdate[] {
     const settled = getEpochs(topic).getSettled();
     const lost = listMissing(topic, items)
       .filter(({ version }) => version.epoch < settled);
@@ -199,26 +205,32 @@
     return apply([...items, ...removals]);
   }
 
-  function listMissing(topic: Topic, items: readonly NewsItem[]): NewsItem[] {
+  function listMissing(
+    topic: Topic,
+    items: readonly FactUpdate[],
+  ): FactUpdate[] {
     const listed = new Set(items.map((item) => item.key));
     return listFacts(topic).filter(({ key }) => !listed.has(key));
   }
 
-  function listFacts(topic: Topic): NewsItem[] {
+  function listFacts(topic: Topic): FactUpdate[] {
     return [...known.values()].map(({ item }) => item).filter((item) =>
       item.topic === topic && item.fact !== undefined
     );
   }
 
   /** Whoever knows all of a topic knows all up to its newest fact. */
-  function getNewest(items: readonly NewsItem[], epoch: number): FactVersion {
+  function getNewest(items: readonly FactUpdate[], epoch: number): FactVersion {
     const numbers = items.map(({ version }) => version)
       .filter((version) => version.epoch === epoch)
       .map(({ number }) => number);
     return makeVersion(Math.max(0, ...numbers), epoch);
   }
 
-  function remove({ topic, key }: NewsItem, version: FactVersion): NewsItem {
+  function remove(
+    { topic, key }: FactUpdate,
+    version: FactVersion,
+  ): FactUpdate {
     return { topic, key, version };
   }
 
@@ -242,22 +254,22 @@
 
   return {
     apply,
-    applyWhole,
-    applySettled,
+    applySnapshot: applyWhole,
+    applyPeerSnapshot: applySettled,
     listTopic: (topic) =>
       [...known.values()].map(({ item }) => item)
         .filter((item) => item.topic === topic),
     get: (key) => known.get(key)?.item,
-    noteEpochs(topic, starts) {
+    recordEpochs(topic, starts) {
       const state = topics.get(topic)!;
-      const isNews = state.epochs.note(starts);
+      const isNews = state.epochs.record(starts);
       if (isNews) state.digest = undefined;
       return isNews;
     },
     listEpochs: (topic) => getEpochs(topic).list(),
-    getEpoch: (topic) => getEpochs(topic).getLatest(),
+    getLatestEpoch: (topic) => getEpochs(topic).getLatest(),
     isSettled,
-    isRestored(topic) {
+    hasUnsettledRestore(topic) {
       if (isSettled(topic)) return false;
       const epochs = getEpochs(topic);
       return epochs.list().length > 1 ||
@@ -270,11 +282,11 @@
       return getAgeMs(topic) <= COMPLETE_MS &&
         listFacts(topic).every(({ version }) => version.epoch >= settled);
     },
-    isOfLatestEpoch(key) {
+    isFromLatestEpoch(key) {
       const item = known.get(key)?.item;
       if (item === undefined) return false;
       const epochs = getEpochs(item.topic);
-      return epochs.getOrigin(item.version) === epochs.getLatest();
+      return epochs.getOriginEpoch(item.version) === epochs.getLatest();
     },
     getDigest,
     getDigests: () => ({
@@ -282,7 +294,7 @@
       servers: getDigest("servers"),
       suspects: getDigest("suspects"),
     }),
-    noteCurrent(topic, ageMs) {
+    recordComplete(topic, ageMs) {
       const atMs = clock.monotonicMs() - ageMs;
       const before = currentAtMs.get(topic) ?? -Infinity;
       if (atMs > before) currentAtMs.set(topic, atMs);
@@ -296,6 +308,6 @@
  * @param board A board.
  * @returns The age of its least current topic, in ms.
  */
-export function getOldestAgeMs(board: NewsBoard): number {
+export function getOldestAgeMs(board: FactStore): number {
   return Math.max(...SOURCE_TOPICS.map((topic) => board.getAgeMs(topic)));
 }
--- a/src/news/patience.ts
+++ b/src/news/fallback_read.ts
@@ -9,13 +9,13 @@
  */
 
 /** What patience depends on. */
-export interface PatienceView {
+export interface FallbackReadContext {
   /** Whether this VM knows which VMs there are, or gave up asking. */
-  isPlaced: boolean;
+  hasVmList: boolean;
   /** Whether facts come by way of a hub, and not straight from a reader. */
   isBehindHub: boolean;
   /** Time since this VM started. */
-  upMs: number;
+  uptimeMs: number;
 }
 
 /**
@@ -39,8 +39,11 @@
  * @param view What patience depends on.
  * @returns Whether to read them here.
  */
-export function isOverdue(ageMs: number, view: PatienceView): boolean {
-  const { isPlaced, isBehindHub, upMs } = view;
+export function needsFallbackRead(
+  ageMs: number,
+  view: FallbackReadContext,
+): boolean {
+  const { hasVmList: isPlaced, isBehindHub, uptimeMs: upMs } = view;
   if (!isPlaced && upMs < PLACED_MS) return false;
   if (!isBehindHub) return ageMs >= STALE_MS;
   if (ageMs === Infinity) return upMs >= START_MS;
--- a/src/news/knowledge.ts
+++ b/src/news/freshness.ts
@@ -32,7 +32,7 @@
 }
 
 /** Knowledge and its age. */
-export interface Knowledge {
+export interface FreshnessTracker {
   /** @returns This moment, as of which a reading that is asked for now speaks. */
   getInstant(): Instant;
   /**
@@ -40,14 +40,14 @@
    *
    * @param askedAt When the reading was asked for.
    */
-  noteReading(askedAt: Instant): void;
+  recordRead(askedAt: Instant): void;
   /** @returns A stamp of this moment, for other VMs. */
   makeStamp(): number;
   /**
    * @param proof What another VM said.
    * @returns Whether it makes the knowledge newer by much.
    */
-  noteProof(proof: Proof): boolean;
+  recordProof(proof: Proof): boolean;
   /**
    * @param stamp The stamp of the VM that is told.
    * @param stampedAt When it arrived.
@@ -61,7 +61,7 @@
 }
 
 /** What knowledge needs. */
-export interface KnowledgeParts {
+export interface FreshnessTrackerOptions {
   clock: Clock;
   /** @returns Version of the configuration that is known; 0 before the first. */
   getVersion: () => number;
@@ -81,7 +81,9 @@
  * @param parts What knowledge needs.
  * @returns Knowledge that nothing proves.
  */
-export function createKnowledge(parts: KnowledgeParts): Knowledge {
+export function createFreshnessTracker(
+  parts: FreshnessTrackerOptions,
+): FreshnessTracker {
   const { clock, getVersion } = parts;
   let proven: Proven | undefined;
   /** Proves a configuration that has yet to arrive. */
@@ -134,14 +136,14 @@
 
   return {
     getInstant,
-    noteReading: (askedAt) =>
+    recordRead: (askedAt) =>
       void take({ version: getVersion(), asOf: askedAt }),
     makeStamp() {
       stamps.set(++lastStamp, getInstant());
       stamps.delete(lastStamp - MAX_STAMPS);
       return lastStamp;
     },
-    noteProof({ version, ageMs, stamp, heldMs }) {
+    recordProof({ version, ageMs, stamp, heldMs }) {
       const stampedAt = stamps.get(stamp);
       if (stampedAt === undefined) return false;
       const shiftMs = heldMs - ageMs;
--- a/src/news/knowledge_watch.ts
+++ b/src/news/freshness_monitor.ts
@@ -5,13 +5,13 @@
  */
 import type { Clock, Timer } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
-import type { Knowledge } from "./knowledge.ts";
+import type { FreshnessTracker } from "./freshness.ts";
 
 /** What a watch needs. */
-export interface KnowledgeWatchParts {
+export interface FreshnessMonitorOptions {
   clock: Clock;
   log: Log;
-  knowledge: Knowledge;
+  freshness: FreshnessTracker;
   /** Age up to which knowledge is trusted. */
   maxAgeMs: number;
 }
@@ -23,8 +23,8 @@
  * @param parts What the watch needs.
  * @returns The running watch.
  */
-export function watchKnowledge(parts: KnowledgeWatchParts): Timer {
-  const { clock, log, knowledge, maxAgeMs } = parts;
+export function startFreshnessMonitor(parts: FreshnessMonitorOptions): Timer {
+  const { clock, log, freshness: knowledge, maxAgeMs } = parts;
   let isTrusted = false;
 
   return clock.every(CHECK_MS, () => {
--- a/src/news/knowledge_test.ts
+++ b/src/news/freshness_test.ts
@@ -1,19 +1,22 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
-import { createKnowledge, type Knowledge } from "./knowledge.ts";
+import { createFreshnessTracker, type FreshnessTracker } from "./freshness.ts";
 
 /** A VM with a clock of its own, of which only the pace is common. */
 function makeVm(startMs: number) {
   const clock: FakeClock = createFakeClock(startMs);
   clock.advance(startMs % 10_000);
   const vm = { clock, version: 1 };
-  const knowledge = createKnowledge({ clock, getVersion: () => vm.version });
+  const knowledge = createFreshnessTracker({
+    clock,
+    getVersion: () => vm.version,
+  });
   return Object.assign(vm, { knowledge });
 }
 
-function read(knowledge: Knowledge): void {
-  knowledge.noteReading(knowledge.getInstant());
+function read(knowledge: FreshnessTracker): void {
+  knowledge.recordRead(knowledge.getInstant());
 }
 
 test("a reading speaks as of when it was asked for", () => {
@@ -21,7 +24,7 @@
   assert.is(knowledge.getAgeMs(), Infinity);
   const askedAt = knowledge.getInstant();
   clock.advance(700);
-  knowledge.noteReading(askedAt);
+  knowledge.recordRead(askedAt);
   assert.is(knowledge.getAgeMs(), 700);
 });
 
@@ -30,7 +33,7 @@
   const early = knowledge.getInstant();
   clock.advance(500);
   read(knowledge);
-  knowledge.noteReading(early);
+  knowledge.recordRead(early);
   assert.is(knowledge.getAgeMs(), 0);
 });
 
@@ -48,7 +51,7 @@
   advance(100);
   const proof = reader.knowledge.makeProof(stamp, arrivedAt)!;
   advance(3_000);
-  other.knowledge.noteProof(proof);
+  other.knowledge.recordProof(proof);
   // The way of the stamp, 40 ms, is lost; 3,140 ms is the truth.
   assert.is(other.knowledge.getAgeMs(), 3_180);
 });
@@ -61,13 +64,13 @@
   const arrivedAt = reader.knowledge.getInstant();
   const proof = reader.knowledge.makeProof(stamp, arrivedAt)!;
   other.clock.advance(8_000);
-  other.knowledge.noteProof(proof);
+  other.knowledge.recordProof(proof);
   assert.is(other.knowledge.getAgeMs(), 8_000);
 });
 
 test("an answer to a stamp that was not made here proves nothing", () => {
   const { knowledge } = makeVm(1_000);
-  knowledge.noteProof({ version: 1, ageMs: 0, stamp: 77, heldMs: 0 });
+  knowledge.recordProof({ version: 1, ageMs: 0, stamp: 77, heldMs: 0 });
   assert.is(knowledge.getAgeMs(), Infinity);
 });
 
@@ -96,7 +99,7 @@
   const vm = makeVm(1_000);
   const { knowledge } = vm;
   const stamp = knowledge.makeStamp();
-  knowledge.noteProof({ version: 2, ageMs: 0, stamp, heldMs: 0 });
+  knowledge.recordProof({ version: 2, ageMs: 0, stamp, heldMs: 0 });
   assert.is(knowledge.getAgeMs(), Infinity);
   assert.ok(knowledge.isBehind());
   vm.version = 2;
@@ -116,10 +119,10 @@
   advance(300);
   read(reader.knowledge);
   advance(50);
-  hub.knowledge.noteProof(reader.knowledge.makeProof(hubStamp, atReader)!);
+  hub.knowledge.recordProof(reader.knowledge.makeProof(hubStamp, atReader)!);
   assert.is(hub.knowledge.getAgeMs(), 50);
   advance(400);
-  member.knowledge.noteProof(hub.knowledge.makeProof(memberStamp, atHub)!);
+  member.knowledge.recordProof(hub.knowledge.makeProof(memberStamp, atHub)!);
   assert.is(member.knowledge.getAgeMs(), 450);
 });
 
--- a/src/news/reader.ts
+++ b/src/news/reader.ts
@@ -7,36 +7,36 @@
 import { type Clock, pause } from "../runtime/clock.ts";
 import { describeError } from "../runtime/errors.ts";
 import type { Log } from "../telemetry/log.ts";
-import type { NewsBoard } from "./board.ts";
-import type { Instant } from "./knowledge.ts";
-import { createSettling } from "./settling.ts";
+import type { FactStore } from "./fact_store.ts";
+import type { Instant } from "./freshness.ts";
+import { createEpochSettlement } from "./epoch_settlement.ts";
 import type {
+  FactBatch,
   FactSource,
-  NewsBatch,
-  NewsItem,
+  FactUpdate,
   SourceBatch,
   SourceTopic,
 } from "./types.ts";
 import { type FactVersion, makeVersion } from "./version.ts";
 
 /** Times of a reader. */
-export interface ReaderTimes {
+export interface ReaderTimings {
   /**
    * How long the source holds a call back when nothing changed. Facts count
    * as current as of the last answer, so it is also their age on a calm day.
    */
   waitMs: number;
   /** Pause between two answers, so that changes come in batches. */
-  batchMs: number;
+  batchPauseMs: number;
   /** First pause after a failed call; doubles up to `maxRetryMs`. */
-  retryMs: number;
+  initialRetryMs: number;
   maxRetryMs: number;
 }
 
-export const DEFAULT_READER_TIMES: ReaderTimes = {
+export const DEFAULT_READER_TIMINGS: ReaderTimings = {
   waitMs: 1_000,
-  batchMs: 150,
-  retryMs: 100,
+  batchPauseMs: 150,
+  initialRetryMs: 100,
   maxRetryMs: 800,
 };
 
@@ -44,8 +44,8 @@
  * Where what is known has to be proven lately: a reading proves what held when
  * it was asked for, so one that waits for long is old when it ends.
  */
-export const STRICT_READER_TIMES: ReaderTimes = {
-  ...DEFAULT_READER_TIMES,
+export const STRICT_READER_TIMINGS: ReaderTimings = {
+  ...DEFAULT_READER_TIMINGS,
   waitMs: 500,
 };
 
@@ -54,24 +54,24 @@
 /** Facts that one line of the log names. */
 const MAX_SHOWN_FACTS = 5;
 /** A call that found nothing is this much late before it counts as lost. */
-export const SOURCE_SLACK_MS = 700;
+export const SOURCE_GRACE_MS = 700;
 
 /** What a reader needs. */
-export interface ReaderParts {
+export interface ReaderOptions {
   source: FactSource;
-  board: NewsBoard;
+  store: FactStore;
   clock: Clock;
   log: Log;
-  times: ReaderTimes;
+  timings: ReaderTimings;
   /** Whether this VM reads for others. */
-  hasDuty: () => boolean;
+  hasReadDuty: () => boolean;
   /**
    * @param ageMs Age of the topic's facts; infinite before the first.
    * @returns Whether this VM has to read them for itself.
    */
-  isOverdue: (ageMs: number) => boolean;
+  needsFallbackRead: (ageMs: number) => boolean;
   /** Told of facts that were new, to pass them on. */
-  onNews: (items: NewsItem[]) => void;
+  onUpdates: (items: FactUpdate[]) => void;
   /** Told of each answer of the source, and when it was asked for. */
   onRead: (topic: SourceTopic, askedAt: Instant) => void;
   /** @returns This moment. */
@@ -88,18 +88,18 @@
  * @param parts What the reader needs.
  * @returns The running reader.
  */
-export function startReader(topic: SourceTopic, parts: ReaderParts): Reader {
-  const { source, board, clock, log, times } = parts;
+export function startReader(topic: SourceTopic, parts: ReaderOptions): Reader {
+  const { source, store: board, clock, log, timings: times } = parts;
   let stopped = false;
   let position: FactVersion | undefined;
-  const settling = createSettling(topic, board, clock);
+  const settling = createEpochSettlement(topic, board, clock);
   let failures = 0;
 
   async function readOnce(): Promise<void> {
     const askedAt = parts.getInstant();
     if (position === undefined || settling.isDue()) return await list(askedAt);
     const result = await source.follow(topic, position.number, times.waitMs);
-    settling.noteAnswer();
+    settling.recordAnswer();
     if (result.kind === "history_lost") {
       log.info({ topic, position }, "history lost, listing anew");
       position = undefined;
@@ -124,14 +124,14 @@
       const { epoch } = batch.version;
       throw new Error(
         `The source answers of epoch ${epoch}, known is ${
-          board.getEpoch(topic)
+          board.getLatestEpoch(topic)
         }`,
       );
     }
-    const isSettled = isSettlingDue && settling.settles(batch);
+    const isSettled = isSettlingDue && settling.settlesEpoch(batch);
     if (answer.epoch !== undefined) noteEpoch(batch.version, isSettled);
-    settling.noteAnswer();
-    const news = board.applyWhole(topic, batch);
+    settling.recordAnswer();
+    const news = board.applySnapshot(topic, batch);
     const facts = batch.items.length;
     log.info(
       { topic, position: batch.version, facts, news: news.length },
@@ -141,8 +141,8 @@
   }
 
   /** An answer that names no epoch is one of the epoch that is known. */
-  function toBatch({ items, version, epoch }: SourceBatch): NewsBatch {
-    const named = epoch ?? board.getEpoch(topic);
+  function toBatch({ items, version, epoch }: SourceBatch): FactBatch {
+    const named = epoch ?? board.getLatestEpoch(topic);
     return {
       version: makeVersion(version, named),
       items: items.map((item) => ({
@@ -153,13 +153,13 @@
   }
 
   /** Whether an answer came late, from before the source was restored. */
-  function isEarlier({ version }: NewsBatch): boolean {
-    return version.epoch < board.getEpoch(topic);
+  function isEarlier({ version }: FactBatch): boolean {
+    return version.epoch < board.getLatestEpoch(topic);
   }
 
   function noteEpoch({ epoch, number }: FactVersion, isSettled: boolean): void {
     const before = board.listEpochs(topic);
-    const isNews = board.noteEpochs(topic, [{
+    const isNews = board.recordEpochs(topic, [{
       epoch,
       copiedThrough: number,
       isSettled,
@@ -169,14 +169,14 @@
     else log.warn({ topic, epoch, before, position: number }, "epoch began");
   }
 
-  function take(batch: NewsBatch, news: NewsItem[], askedAt: Instant): void {
+  function take(batch: FactBatch, news: FactUpdate[], askedAt: Instant): void {
     position = batch.version;
     logOlder(batch);
     publish(news, askedAt);
   }
 
   /** Facts of the source in whose place this VM keeps another one. */
-  function logOlder({ items, version: position }: NewsBatch): void {
+  function logOlder({ items, version: position }: FactBatch): void {
     const older = items.flatMap(({ key, version }) => {
       const known = board.get(key)?.version;
       if (known === undefined || known.epoch === version.epoch) return [];
@@ -190,9 +190,9 @@
     );
   }
 
-  function publish(items: NewsItem[], askedAt: Instant): void {
-    board.noteCurrent(topic, 0);
-    if (items.length > 0) parts.onNews(items);
+  function publish(items: FactUpdate[], askedAt: Instant): void {
+    board.recordComplete(topic, 0);
+    if (items.length > 0) parts.onUpdates(items);
     parts.onRead(topic, askedAt);
   }
 
@@ -205,24 +205,29 @@
 
   async function noteFailure(cause: unknown): Promise<void> {
     failures++;
-    settling.noteFailure();
+    settling.recordFailure();
     if (failures === 1) {
       log.warn({ topic, error: describeError(cause) }, "platform lost");
     }
     const factor = 2 ** Math.min(failures - 1, 10);
-    await pause(clock, Math.min(times.retryMs * factor, times.maxRetryMs));
+    await pause(
+      clock,
+      Math.min(times.initialRetryMs * factor, times.maxRetryMs),
+    );
   }
 
   async function run(): Promise<void> {
     while (!stopped) {
-      if (!parts.hasDuty() && !parts.isOverdue(board.getAgeMs(topic))) {
+      if (
+        !parts.hasReadDuty() && !parts.needsFallbackRead(board.getAgeMs(topic))
+      ) {
         await pause(clock, IDLE_CHECK_MS);
         continue;
       }
       try {
         await readOnce();
         noteSuccess();
-        await pause(clock, times.batchMs);
+        await pause(clock, times.batchPauseMs);
       } catch (cause) {
         await noteFailure(cause);
       }
--- a/src/news/reader_test.ts
+++ b/src/news/reader_test.ts
@@ -3,13 +3,13 @@
 import { test } from "uvu";
 import { makeServer } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
-import { createNewsBoard } from "./board.ts";
-import { DEFAULT_READER_TIMES, startReader } from "./reader.ts";
+import { createFactStore } from "./fact_store.ts";
+import { DEFAULT_READER_TIMINGS, startReader } from "./reader.ts";
 import {
   FactSource,
   type FollowResult,
   type SourceBatch,
-  type SourceItem,
+  type SourceUpdate,
 } from "./types.ts";
 
 /** Answers what a test sets next, one call after the other. */
@@ -42,7 +42,7 @@
   }
 }
 
-function makeItem(name: string, version: number): SourceItem {
+function makeItem(name: string, version: number): SourceUpdate {
   const server = makeServer(name);
   const fact = { kind: "server", server } as const;
   return { topic: "servers", key: `server/${name}`, version, fact };
@@ -51,14 +51,14 @@
 function makeBatch(
   version: number,
   epoch: number | undefined,
-  ...items: SourceItem[]
+  ...items: SourceUpdate[]
 ): SourceBatch {
   return { items, version, epoch };
 }
 
 async function play(answers: ScriptedSource["answers"]) {
   const clock = createFakeClock();
-  const board = createNewsBoard(clock);
+  const board = createFactStore(clock);
   const source = new ScriptedSource();
   source.answers = [...answers];
   const told: string[] = [];
@@ -66,13 +66,13 @@
   const write = (line: string) => void told.push(JSON.parse(line).msg);
   const reader = startReader("servers", {
     source,
-    board,
+    store: board,
     clock,
     log: pino({}, { write }),
-    times: DEFAULT_READER_TIMES,
-    hasDuty: () => source.answers.length > 0,
-    isOverdue: () => false,
-    onNews: () => {},
+    timings: DEFAULT_READER_TIMINGS,
+    hasReadDuty: () => source.answers.length > 0,
+    needsFallbackRead: () => false,
+    onUpdates: () => {},
     onRead: () => void reads.push(source.calls.at(-1)!),
     getInstant: () => ({ monotonicMs: 0, wallMs: 0 }),
   });
@@ -104,7 +104,7 @@
     makeBatch(6, 2, makeItem("b", 6)),
   ]);
   assert.equal(calls, ["list", "follow 10", "list", "follow 4"]);
-  assert.is(board.getEpoch("servers"), 2);
+  assert.is(board.getLatestEpoch("servers"), 2);
   assert.ok(told.includes("epoch began"));
 });
 
@@ -116,7 +116,7 @@
       makeBatch(5, 1, makeItem("a", 3)),
     ]);
     assert.equal(names, ["server/a", "server/joined"]);
-    assert.ok(board.isRestored("servers"));
+    assert.ok(board.hasUnsettledRestore("servers"));
   }
 });
 
@@ -137,7 +137,7 @@
   ]);
   assert.equal(names, ["server/a"]);
   assert.equal(reads, ["list"]);
-  assert.is(board.getEpoch("servers"), 2);
+  assert.is(board.getLatestEpoch("servers"), 2);
 });
 
 test("a source that names no epoch is followed by its numbers", async () => {
--- a/src/news/restore_model_test.ts
+++ b/src/news/restore_model_test.ts
@@ -9,14 +9,14 @@
 import { createFakeClock, type FakeClock, pause } from "../runtime/clock.ts";
 import { createRandom, type Random } from "../runtime/random.ts";
 import { createSilentLog } from "../telemetry/log.ts";
-import { createNewsBoard, type NewsBoard } from "./board.ts";
-import { DEFAULT_READER_TIMES, startReader } from "./reader.ts";
+import { createFactStore, type FactStore } from "./fact_store.ts";
+import { DEFAULT_READER_TIMINGS, startReader } from "./reader.ts";
 import {
   CONFIGURATION_KEY,
   type Fact,
   FactSource,
+  type FactUpdate,
   type FollowResult,
-  type NewsItem,
   SOURCE_TOPICS,
   type SourceBatch,
   type SourceTopic,
@@ -159,7 +159,7 @@
 
 /** VMs of which some read, and that tell each other what is new. */
 function startVms(source: RestoredSource, clock: FakeClock, random: Random) {
-  const boards: NewsBoard[] = [];
+  const boards: FactStore[] = [];
   const messages: Message[] = [];
 
   function send(deliver: () => void): void {
@@ -168,31 +168,31 @@
     messages.push({ atMs, deliver });
   }
 
-  function tell(from: NewsBoard, to: NewsBoard, items: NewsItem[]): void {
+  function tell(from: FactStore, to: FactStore, items: FactUpdate[]): void {
     const epochs = SOURCE_TOPICS.map((topic) => from.listEpochs(topic));
     send(() => {
-      SOURCE_TOPICS.forEach((topic, at) => to.noteEpochs(topic, epochs[at]));
+      SOURCE_TOPICS.forEach((topic, at) => to.recordEpochs(topic, epochs[at]));
       to.apply(items);
     });
   }
 
-  function tellWhole(from: NewsBoard, to: NewsBoard, topic: SourceTopic): void {
+  function tellWhole(from: FactStore, to: FactStore, topic: SourceTopic): void {
     const items = from.listTopic(topic);
     const isComplete = from.isComplete(topic);
     const epochs = from.listEpochs(topic);
     send(() => {
-      to.noteEpochs(topic, epochs);
-      if (isComplete) to.applySettled(topic, items);
+      to.recordEpochs(topic, epochs);
+      if (isComplete) to.applyPeerSnapshot(topic, items);
       else to.apply(items);
     });
   }
 
-  function add(reads: boolean): NewsBoard {
-    const board = createNewsBoard(clock);
+  function add(reads: boolean): FactStore {
+    const board = createFactStore(clock);
     boards.push(board);
     const repair = createFactRepair({ board, clock, log });
-    const peers = new Map<NewsBoard, FactPeer>();
-    const getPeer = (other: NewsBoard): FactPeer => {
+    const peers = new Map<FactStore, FactPeer>();
+    const getPeer = (other: FactStore): FactPeer => {
       const known = peers.get(other) ?? {
         peer: "",
         ask: (topic) => tellWhole(other, board, topic as SourceTopic),
@@ -211,13 +211,13 @@
     for (const topic of reads ? SOURCE_TOPICS : []) {
       startReader(topic, {
         source,
-        board,
+        store: board,
         clock,
         log,
-        times: DEFAULT_READER_TIMES,
-        hasDuty: () => true,
-        isOverdue: () => false,
-        onNews: (items) => {
+        timings: DEFAULT_READER_TIMINGS,
+        hasReadDuty: () => true,
+        needsFallbackRead: () => false,
+        onUpdates: (items) => {
           for (const other of boards) {
             if (other !== board) tell(board, other, items);
           }
@@ -241,19 +241,19 @@
   };
 }
 
-function getConfigurationNumber(board: NewsBoard): number {
+function getConfigurationNumber(board: FactStore): number {
   const fact = board.get(CONFIGURATION_KEY)?.fact;
   return fact?.kind === "configuration" ? fact.configuration.version : 0;
 }
 
-function listStates(board: NewsBoard): string[] {
+function listStates(board: FactStore): string[] {
   return board.listTopic("servers").flatMap(({ fact }) =>
     fact?.kind === "server" ? [`${fact.server.id} ${fact.server.state}`] : []
   ).sort();
 }
 
 /** Fails where a VM goes back to what it knew before. */
-function createWatch(board: NewsBoard) {
+function createWatch(board: FactStore) {
   let configuration = 0;
   const draining = new Set<string>();
   return () => {
--- a/src/news/schema.ts
+++ b/src/news/schema.ts
@@ -70,7 +70,7 @@
 });
 
 /** Checks one fact as VMs tell it. */
-export const newsItemSchema = z.object({
+export const factUpdateSchema = z.object({
   topic: z.enum(["operations", "servers", "suspects"]),
   key: z.string().max(2 * MAX_NAME),
   version: z.number().nonnegative(),
--- a/src/news/types.ts
+++ b/src/news/types.ts
@@ -47,7 +47,7 @@
 export const CONFIGURATION_KEY = "configuration";
 
 /** One fact, or the news that it no longer holds. */
-export interface NewsItem {
+export interface FactUpdate {
   topic: Topic;
   key: string;
   version: FactVersion;
@@ -56,18 +56,18 @@
 }
 
 /** Facts as of one position of a topic. */
-export interface NewsBatch {
-  items: NewsItem[];
+export interface FactBatch {
+  items: FactUpdate[];
   /** Position in the topic that the items reach. */
   version: FactVersion;
 }
 
 /** News as a source numbers them; their epoch is that of the answer. */
-export type SourceItem = Omit<NewsItem, "version"> & { version: number };
+export type SourceUpdate = Omit<FactUpdate, "version"> & { version: number };
 
 /** What a source answers. */
 export interface SourceBatch {
-  items: SourceItem[];
+  items: SourceUpdate[];
   /** Position in the topic that the items reach. */
   version: number;
   /** Absent where the source names none. */
--- a/src/news/wire_form.ts
+++ b/src/news/wire_format.ts
@@ -4,18 +4,18 @@
  * @module
  */
 import type * as z from "zod";
-import type { newsItemSchema } from "./schema.ts";
-import type { NewsItem, Topic } from "./types.ts";
+import type { factUpdateSchema } from "./schema.ts";
+import type { FactUpdate, Topic } from "./types.ts";
 import { makeVersion } from "./version.ts";
 
 /** A fact in a message. */
-export type WireItem = z.infer<typeof newsItemSchema>;
+export type WireUpdate = z.infer<typeof factUpdateSchema>;
 
 /**
  * @param items Facts.
  * @returns The same for a message.
  */
-export function packNews(items: readonly NewsItem[]): WireItem[] {
+export function encodeUpdates(items: readonly FactUpdate[]): WireUpdate[] {
   return items.map(({ version, ...item }) => ({
     ...item,
     version: version.number,
@@ -28,10 +28,10 @@
  * @param getEpoch Latest epoch of a topic; VMs that name none mean that one.
  * @returns The same for the board.
  */
-export function unpackNews(
-  items: readonly WireItem[],
+export function decodeUpdates(
+  items: readonly WireUpdate[],
   getEpoch: (topic: Topic) => number,
-): NewsItem[] {
+): FactUpdate[] {
   return items.map(({ version, epoch, ...item }) => ({
     ...item,
     version: makeVersion(version, epoch ?? getEpoch(item.topic)),
--- a/src/quarantine/neighbours_test.ts
+++ b/src/quarantine/neighbours_test.ts
@@ -6,8 +6,8 @@
  */
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { createNewsBoard } from "../news/board.ts";
-import type { NewsItem } from "../news/types.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import type { FactUpdate } from "../news/types.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { hashToUnit, rankByRendezvous } from "../runtime/hash.ts";
 import { createRandom, type Random } from "../runtime/random.ts";
@@ -50,14 +50,14 @@
 }
 
 function startVms(clock: FakeClock, maxServerEnds: number): Suspects[] {
-  const boards = Array.from({ length: VMS }, () => createNewsBoard(clock));
+  const boards = Array.from({ length: VMS }, () => createFactStore(clock));
   return boards.map((board, index) => {
     const suspects = createSuspects({
       clock,
       log: createSilentLog(),
       ownId: `vm-${index}`,
       terms: { maxServerEnds },
-      publish(items: NewsItem[]) {
+      publish(items: FactUpdate[]) {
         const news = board.apply(items);
         clock.after(
           NEWS_MS,
--- a/src/quarantine/suspect_facts.ts
+++ b/src/quarantine/suspect_facts.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Fact, NewsItem } from "../news/types.ts";
+import type { Fact, FactUpdate } from "../news/types.ts";
 import { makeVersion } from "../news/version.ts";
 
 type EndFact = Omit<Extract<Fact, { kind: "server_end" }>, "kind">;
@@ -16,7 +16,7 @@
  * @param end The request, its round, and the server that ended under it.
  * @returns The news of it.
  */
-export function toEndNews(end: EndFact): NewsItem {
+export function toEndNews(end: EndFact): FactUpdate {
   return {
     topic: "suspects",
     key: nameEnd(end.request, end.round, end.server),
@@ -30,7 +30,7 @@
  * @param round The round that begins.
  * @returns The news of it; of several the latest round holds.
  */
-export function toAnswerNews(request: string, round: number): NewsItem {
+export function toAnswerNews(request: string, round: number): FactUpdate {
   return {
     topic: "suspects",
     key: nameAnswer(request),
@@ -44,7 +44,7 @@
   request: string,
   round: number,
   server: string,
-): NewsItem {
+): FactUpdate {
   const key = nameEnd(request, round, server);
   return {
     topic: "suspects",
@@ -54,7 +54,7 @@
 }
 
 /** @returns The news that a round is over; a later one is not. */
-export function forgetAnswer(request: string, round: number): NewsItem {
+export function forgetAnswer(request: string, round: number): FactUpdate {
   const version = makeVersion(2 * round + 1);
   return { topic: "suspects", key: nameAnswer(request), version };
 }
--- a/src/quarantine/suspects.ts
+++ b/src/quarantine/suspects.ts
@@ -16,7 +16,7 @@
  *
  * @module
  */
-import type { Fact, NewsItem } from "../news/types.ts";
+import type { Fact, FactUpdate } from "../news/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { hashToUnit } from "../runtime/hash.ts";
 import type { Log } from "../telemetry/log.ts";
@@ -36,9 +36,9 @@
   ownId: string;
   terms: QuarantineTerms;
   /** Makes facts known to this VM and all others. */
-  publish: (items: NewsItem[]) => void;
+  publish: (items: FactUpdate[]) => void;
   /** Makes this VM forget facts; each does so for itself. */
-  forget: (items: NewsItem[]) => void;
+  forget: (items: FactUpdate[]) => void;
 }
 
 /** Judges requests by the servers that ended under them. */
@@ -52,7 +52,7 @@
   /** Notes that a server ran a request to an answer, of whatever kind. */
   noteAnswer(request: string): void;
   /** Takes a changed fact in. */
-  apply(item: NewsItem): void;
+  apply(item: FactUpdate): void;
   /**
    * @param request A request that runs.
    * @param stop Called once the request is set aside.
--- a/src/quarantine/suspects_test.ts
+++ b/src/quarantine/suspects_test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { createNewsBoard } from "../news/board.ts";
-import type { NewsItem } from "../news/types.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import type { FactUpdate } from "../news/types.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { toAnswerNews, toEndNews } from "./suspect_facts.ts";
@@ -14,15 +14,15 @@
 
 interface TestVm {
   suspects: Suspects;
-  board: ReturnType<typeof createNewsBoard>;
-  told: NewsItem[];
+  board: ReturnType<typeof createFactStore>;
+  told: FactUpdate[];
 }
 
 /** VMs whose facts reach the others when they are told to. */
 function startFleet(clock: FakeClock, size: number, maxServerEnds = 3) {
   const vms: TestVm[] = Array.from({ length: size }, (_, index) => {
-    const board = createNewsBoard(clock);
-    const told: NewsItem[] = [];
+    const board = createFactStore(clock);
+    const told: FactUpdate[] = [];
     const suspects = createSuspects({
       clock,
       log: createSilentLog(),
--- a/src/servers/registry.ts
+++ b/src/servers/registry.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { NewsItem } from "../news/types.ts";
+import type { FactUpdate } from "../news/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { RunningRequests } from "../activity/running.ts";
@@ -30,7 +30,7 @@
 /** All backend servers that this VM knows. */
 export interface ServerRegistry {
   /** Takes a changed fact in. */
-  apply(item: NewsItem): void;
+  apply(item: FactUpdate): void;
   /**
    * @param service A service.
    * @returns Its servers that may be sent requests, cold ones included.
@@ -181,7 +181,7 @@
   }
 
   /** Nothing that is known of a start holds for the next one of its name. */
-  function applyServer(item: NewsItem, registeredName: string): void {
+  function applyServer(item: FactUpdate, registeredName: string): void {
     const known = servers.get(registeredName);
     if (item.fact?.kind !== "server") {
       if (known !== undefined) remove(known);
@@ -194,7 +194,7 @@
     touch();
   }
 
-  function applyEvacuation(item: NewsItem, failureDomain: string): void {
+  function applyEvacuation(item: FactUpdate, failureDomain: string): void {
     const isAsked = item.fact !== undefined;
     if (isAsked === evacuated.has(failureDomain)) return;
     if (isAsked) evacuated.add(failureDomain);
@@ -215,7 +215,7 @@
     }
   }
 
-  function apply(item: NewsItem): void {
+  function apply(item: FactUpdate): void {
     const [topic, name] = splitKey(item.key);
     if (topic === "server") applyServer(item, name);
     if (topic === "evacuation") applyEvacuation(item, name);
