--- a/src/directory/directory.ts
+++ b/src/directory/directory.ts
@@ -1,37 +1,40 @@
 /**
- * Which VMs a client should connect to.
+ * Selects the VMs that a client should connect to.
  *
  * @module
  */
 import type { VmIdentity, VmState } from "../members/types.ts";
 
-/** An answer to a client that asks where to connect. */
+/** Answer to a client that looks up where to connect. */
 export interface DirectoryAnswer {
-  /** Addresses of VMs, any of which will do. */
+  /** Addresses of equivalent VMs. */
   addresses: string[];
-  /** How long the answer may be used, in ms. */
+  /** How long the client may use the answer, in ms. */
   ttlMs: number;
 }
 
-/** What an answer is made from. */
+/** What this VM knows of the fleet when it answers. */
 export interface DirectoryView {
+  /** This VM. */
   self: VmIdentity;
   ownState: VmState;
   /** Other VMs that serve clients. */
   servingPeers: readonly VmIdentity[];
+  /** How long a client may use the answer, in ms. */
   ttlMs: number;
 }
 
-/** Most addresses that a client takes. */
+/** Maximum number of addresses that a client accepts. */
 const MAX_ADDRESSES = 64;
 
 /**
- * Names the serving VMs of the client's region: those of all its failure
- * domains, so that a client has others to turn to when one is lost.
+ * Lists the serving VMs of the client's region, or of all regions if it has none.
+ * The VMs of all failure domains of the region are listed, so that a client can
+ * switch to another one when a failure domain is lost.
  *
- * @param view The VMs.
+ * @param view What this VM knows of the fleet.
  * @param region The client's region.
- * @returns The answer, or undefined where no VM serves.
+ * @returns The answer; undefined if no VM is serving.
  */
 export function answerDirectory(
   view: DirectoryView,
@@ -39,10 +42,10 @@
 ): DirectoryAnswer | undefined {
   const serving = [...view.servingPeers];
   if (view.ownState === "serving") serving.push(view.self);
-  const near = serving.filter((identity) => identity.region === region);
-  const chosen = near.length > 0 ? near : serving;
-  if (chosen.length === 0) return undefined;
-  const addresses = chosen.map((identity) => identity.frontAddress);
+  const inRegion = serving.filter((identity) => identity.region === region);
+  const candidates = inRegion.length > 0 ? inRegion : serving;
+  if (candidates.length === 0) return undefined;
+  const addresses = candidates.map((identity) => identity.frontAddress);
   addresses.sort();
   return { addresses: addresses.slice(0, MAX_ADDRESSES), ttlMs: view.ttlMs };
 }
--- a/src/news/epoch_settlement.ts
+++ b/src/news/epoch_settlement.ts
@@ -1,6 +1,7 @@
 /**
- * When an epoch of a source is settled: what was lost has been written again,
- * and what the source lists holds, however much older it looks.
+ * Decides when an epoch of a source is settled: lost facts have been written
+ * again, and from then on the source's listing is authoritative, even where it is
+ * older than what VMs know.
  *
  * @module
  */
@@ -14,44 +15,46 @@
 
 /**
  * Servers write within two seconds after the source answers again, and the
- * operator at once. The rest covers a write that fails and is tried again.
+ * operator at once. The rest covers a write that fails and is retried.
  */
 const SETTLE_MS = 5_000;
 /**
- * An operator that has not written again for this long means the configuration
- * that the source has, though it is older than the one in force.
+ * If the operator hasn't written again for this long, the configuration in the
+ * source is taken as intended, though it is older than the one in force.
  */
 const OLDER_CONFIGURATION_MS = 60_000;
 
-/** Follows one epoch of a topic after the other. */
+/** Tracks the settlement of the latest epoch of a topic. */
 export interface EpochSettlement {
-  /** Notes that the source answered. */
+  /** Records that the source answered. */
   recordAnswer(): void;
-  /** Notes that it didn't, so that writers may not have reached it either. */
+  /** Records that the source failed to answer; writers may have failed as well. */
   recordFailure(): void;
   /** @returns Whether to list the topic in order to settle its epoch. */
   isDue(): boolean;
   /**
-   * @param batch What was listed while that was due.
+   * @param batch The listing that was made because `isDue` held.
    * @returns Whether it settles its epoch.
    */
   settlesEpoch(batch: FactBatch): boolean;
 }
 
 /**
- * @param topic A topic.
- * @param board All facts of this VM.
- * @param clock The clock.
- * @returns Settling of a source that has not answered.
+ * Creates the settlement state of a source that hasn't answered yet.
+ *
+ * @param topic The topic.
+ * @param store Facts of this VM.
+ * @param clock Clock for the waiting times.
+ * @returns The settlement state.
  */
 export function createEpochSettlement(
   topic: SourceTopic,
-  board: FactStore,
+  store: FactStore,
   clock: Clock,
 ): EpochSettlement {
   let epoch: number | undefined;
   let answeringSinceMs: number | undefined;
-  let triedAtMs = -Infinity;
+  let lastAttemptAtMs = -Infinity;
 
   function getAnsweringMs(): number {
     return answeringSinceMs === undefined
@@ -59,10 +62,10 @@
       : clock.monotonicMs() - answeringSinceMs;
   }
 
-  /** Whether the operator has yet to write the configuration in force again. */
-  function isOlder(batch: FactBatch): boolean {
+  /** Whether the listed configuration is older than the one in force. */
+  function listsOlderConfiguration(batch: FactBatch): boolean {
     const listed = batch.items.find(({ key }) => key === CONFIGURATION_KEY);
-    const known = board.get(CONFIGURATION_KEY);
+    const known = store.get(CONFIGURATION_KEY);
     return listed?.fact?.kind === "configuration" &&
       known?.fact?.kind === "configuration" &&
       listed.fact.configuration.version < known.fact.configuration.version;
@@ -70,7 +73,7 @@
 
   return {
     recordAnswer() {
-      const latest = board.getLatestEpoch(topic);
+      const latest = store.getLatestEpoch(topic);
       if (latest === epoch && answeringSinceMs !== undefined) return;
       epoch = latest;
       answeringSinceMs = clock.monotonicMs();
@@ -79,16 +82,17 @@
       answeringSinceMs = undefined;
     },
     isDue() {
-      if (epoch !== board.getLatestEpoch(topic) || board.isSettled(topic)) {
+      if (epoch !== store.getLatestEpoch(topic) || store.isSettled(topic)) {
         return false;
       }
-      const sinceTryMs = clock.monotonicMs() - triedAtMs;
-      return getAnsweringMs() >= SETTLE_MS && sinceTryMs >= SETTLE_MS;
+      const sinceAttemptMs = clock.monotonicMs() - lastAttemptAtMs;
+      return getAnsweringMs() >= SETTLE_MS && sinceAttemptMs >= SETTLE_MS;
     },
     settlesEpoch(batch) {
-      triedAtMs = clock.monotonicMs();
+      lastAttemptAtMs = clock.monotonicMs();
       if (batch.version.epoch !== epoch) return false;
-      return getAnsweringMs() >= OLDER_CONFIGURATION_MS || !isOlder(batch);
+      return getAnsweringMs() >= OLDER_CONFIGURATION_MS ||
+        !listsOlderConfiguration(batch);
     },
   };
 }
--- a/src/news/epoch_settlement_test.ts
+++ b/src/news/epoch_settlement_test.ts
@@ -6,97 +6,97 @@
 import { createEpochSettlement } from "./epoch_settlement.ts";
 import { makeVersion } from "./version.ts";
 
-function startSettling() {
+function createSettlement() {
   const clock = createFakeClock();
-  const board = createFactStore(clock);
-  board.recordEpochs("operations", [
+  const store = createFactStore(clock);
+  store.recordEpochs("operations", [
     { epoch: 1, copiedThrough: 0, isSettled: true },
     { epoch: 2, copiedThrough: 50 },
   ]);
-  board.apply([makeConfigurationNews(6, 60, 1)]);
+  store.apply([makeConfigurationNews(6, 60, 1)]);
   return {
     clock,
-    board,
-    settling: createEpochSettlement("operations", board, clock),
+    store,
+    settlement: createEpochSettlement("operations", store, clock),
   };
 }
 
-test("an epoch is settled after it has answered for a while", () => {
-  const { clock, settling } = startSettling();
-  assert.not(settling.isDue());
-  settling.recordAnswer();
+test("settling is due after the source has answered for 5 s", () => {
+  const { clock, settlement } = createSettlement();
+  assert.not(settlement.isDue());
+  settlement.recordAnswer();
   clock.advance(4_900);
-  assert.not(settling.isDue());
+  assert.not(settlement.isDue());
   clock.advance(100);
-  assert.ok(settling.isDue());
+  assert.ok(settlement.isDue());
 });
 
-test("a source that is lost meanwhile begins the time anew", () => {
-  const { clock, settling } = startSettling();
-  settling.recordAnswer();
+test("a failure of the source restarts the wait", () => {
+  const { clock, settlement } = createSettlement();
+  settlement.recordAnswer();
   clock.advance(4_000);
-  settling.recordFailure();
-  settling.recordAnswer();
+  settlement.recordFailure();
+  settlement.recordAnswer();
   clock.advance(4_000);
-  assert.not(settling.isDue());
+  assert.not(settlement.isDue());
 });
 
-test("another restore begins the time anew", () => {
-  const { clock, board, settling } = startSettling();
-  settling.recordAnswer();
+test("another restore restarts the wait", () => {
+  const { clock, store, settlement } = createSettlement();
+  settlement.recordAnswer();
   clock.advance(4_000);
-  board.recordEpochs("operations", [{ epoch: 3, copiedThrough: 52 }]);
-  settling.recordAnswer();
+  store.recordEpochs("operations", [{ epoch: 3, copiedThrough: 52 }]);
+  settlement.recordAnswer();
   clock.advance(4_000);
-  assert.not(settling.isDue());
+  assert.not(settlement.isDue());
 });
 
-test("what another VM settled is not listed again", () => {
-  const { clock, board, settling } = startSettling();
-  settling.recordAnswer();
+test("settling is not due once another VM settled the epoch", () => {
+  const { clock, store, settlement } = createSettlement();
+  settlement.recordAnswer();
   clock.advance(5_000);
-  board.recordEpochs("operations", [{
+  store.recordEpochs("operations", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.not(settling.isDue());
+  assert.not(settlement.isDue());
 });
 
-test("an older configuration waits a minute for the operator", () => {
-  const { clock, settling } = startSettling();
+test("an older configuration settles the epoch only after a minute", () => {
+  const { clock, settlement } = createSettlement();
   const older = {
     items: [makeConfigurationNews(5, 50, 2)],
     version: makeVersion(70, 2),
   };
-  settling.recordAnswer();
+  settlement.recordAnswer();
   clock.advance(5_000);
-  assert.not(settling.settlesEpoch(older));
-  assert.not(settling.isDue(), "tried just now");
+  assert.not(settlement.settlesEpoch(older));
+  assert.not(settlement.isDue(), "attempted just now");
   clock.advance(5_000);
-  assert.ok(settling.isDue());
+  assert.ok(settlement.isDue());
   clock.advance(50_000);
-  assert.ok(settling.settlesEpoch(older));
+  assert.ok(settlement.settlesEpoch(older));
 });
 
-test("a list that a further restore answers settles nothing", () => {
-  const { clock, settling } = startSettling();
-  settling.recordAnswer();
+test("a listing of a later epoch settles nothing", () => {
+  const { clock, settlement } = createSettlement();
+  settlement.recordAnswer();
   clock.advance(5_000);
-  assert.ok(settling.isDue());
+  assert.ok(settlement.isDue());
   const items = [makeConfigurationNews(6, 45, 3)];
-  assert.not(settling.settlesEpoch({ items, version: makeVersion(52, 3) }));
+  assert.not(settlement.settlesEpoch({ items, version: makeVersion(52, 3) }));
 });
 
 test("a configuration that was written again settles the epoch", () => {
-  const { clock, settling } = startSettling();
+  const { clock, settlement } = createSettlement();
   const again = {
     items: [makeConfigurationNews(6, 55, 2)],
     version: makeVersion(70, 2),
   };
-  settling.recordAnswer();
+  settlement.recordAnswer();
   clock.advance(5_000);
-  assert.ok(settling.settlesEpoch(again));
+  assert.ok(settlement.settlesEpoch(again));
 });
 
 test.run();
--- a/src/news/epochs.ts
+++ b/src/news/epochs.ts
@@ -1,11 +1,11 @@
 /**
- * Epochs of a source, and which of two versions is the newer one.
+ * Tracks the epochs of a source, and decides which of two versions is newer.
  *
- * After a restore a fact may be read that is older than one of the epoch before.
- * Its number tells: up to the number at which the epoch began it may stem from
- * the copy, and so belongs to an earlier epoch; beyond it was written in this
- * one. Where that number is not known exactly, a higher one is safe: it only
- * delays facts until the epoch is settled.
+ * After a restore, a fact that is read may be older than one of the epoch before.
+ * Its number shows which: up to the number at which the epoch began, the fact may
+ * come from the copy and so belong to an earlier epoch; beyond it, the fact was
+ * written in this epoch. Where that number isn't known exactly, a higher one is
+ * safe: it only delays facts until the epoch is settled.
  *
  * @module
  */
@@ -16,40 +16,56 @@
 /** Epochs of one source. */
 export interface EpochTracker {
   /**
-   * @param starts What this VM or another one found out.
-   * @returns Whether anything of it was new.
+   * Records epoch starts.
+   *
+   * @param starts Epoch starts that this VM or another one found.
+   * @returns Whether any of them was new.
    */
   record(starts: readonly EpochStart[]): boolean;
   /** @returns The latest epoch that is known; 0 where none is. */
   getLatest(): number;
-  /** @returns All starts that still matter, for other VMs. */
+  /**
+   * @returns The starts of the latest settled epoch and of those after it, in
+   *   ascending order, to be sent to other VMs.
+   */
   list(): EpochStart[];
   /** @returns The latest epoch that is settled; 0 where none is. */
   getSettled(): number;
-  /** @returns The epoch in which a version was written, as far as is known. */
+  /**
+   * @param version A version.
+   * @returns The epoch in which it was written, as far as is known; 0 where none
+   *   is.
+   */
   getOriginEpoch(version: FactVersion): number;
-  /** @returns Whether news are newer than what is known under their key. */
-  isNewer(news: FactUpdate, known: FactUpdate): boolean;
+  /**
+   * @param update An update.
+   * @param current The stored update with the same key.
+   * @returns Whether the update is newer than the stored one.
+   */
+  isNewer(update: FactUpdate, current: FactUpdate): boolean;
 }
 
-/** Restores that may follow each other before the first of them is settled. */
-const MAX_STARTS = 8;
+/**
+ * Maximum number of epoch starts that are kept: restores may follow each other
+ * before the first of them is settled.
+ */
+const MAX_EPOCH_STARTS = 8;
 
-/** @returns Epochs of a source that named none. */
+/** @returns A tracker for a source that has named no epoch. */
 export function createEpochTracker(): EpochTracker {
-  /** Ascending by epoch. */
+  /** In ascending order of the epoch. */
   let starts: EpochStart[] = [];
 
-  function noteOne(told: EpochStart): boolean {
-    const known = starts.find(({ epoch }) => epoch === told.epoch);
-    const isNews = known === undefined ||
-      told.copiedThrough < known.copiedThrough ||
-      told.isSettled && !known.isSettled;
-    const isOver = told.epoch < getSettled();
-    if (!isNews || isOver) return false;
+  function recordStart(reported: EpochStart): boolean {
+    const known = starts.find(({ epoch }) => epoch === reported.epoch);
+    const isNew = known === undefined ||
+      reported.copiedThrough < known.copiedThrough ||
+      reported.isSettled && !known.isSettled;
+    const isObsolete = reported.epoch < getSettled();
+    if (!isNew || isObsolete) return false;
     const others = starts.filter((start) => start !== known);
-    starts = [...others, merge(told, known)]
-      .sort((a, b) => a.epoch - b.epoch).slice(-MAX_STARTS);
+    starts = [...others, mergeStarts(reported, known)]
+      .sort((a, b) => a.epoch - b.epoch).slice(-MAX_EPOCH_STARTS);
     const settled = getSettled();
     starts = starts.filter(({ epoch }) => epoch >= settled);
     return true;
@@ -60,56 +76,60 @@
   }
 
   /**
-   * The latest settled epoch that confirms a version; 0 where none does. A copy
-   * that is older than the begin of a settled epoch is not confirmed by it.
+   * Returns the latest settled epoch that confirms a version; 0 where none does.
+   * A settled epoch doesn't confirm a copied fact that is older than its start.
    */
-  function getConfirmed(version: FactVersion): number {
-    const origin = getOrigin(version);
+  function getConfirmingEpoch(version: FactVersion): number {
+    const origin = getOriginEpoch(version);
     return starts.findLast(({ epoch, isSettled }) =>
       isSettled && (epoch === version.epoch || epoch <= origin)
     )?.epoch ?? 0;
   }
 
-  function getOrigin({ epoch, number }: FactVersion): number {
+  function getOriginEpoch({ epoch, number }: FactVersion): number {
     return starts.findLast((start) =>
       start.epoch <= epoch && start.copiedThrough < number
     )?.epoch ?? 0;
   }
 
   return {
-    record: (added) => added.map(noteOne).includes(true),
+    record: (reported) => reported.map(recordStart).includes(true),
     getLatest: () => starts.at(-1)?.epoch ?? 0,
     list: () => starts,
     getSettled,
-    getOriginEpoch: getOrigin,
-    isNewer(news, known) {
-      const [a, b] = [news.version, known.version];
+    getOriginEpoch,
+    isNewer(update, current) {
+      const [a, b] = [update.version, current.version];
       if (a.epoch === b.epoch) return a.number > b.number;
-      const confirmed = getConfirmed(a) - getConfirmed(b);
-      if (confirmed !== 0) return confirmed > 0;
-      const contents = compareContents(news, known);
-      if (contents !== 0) return contents > 0;
-      const origin = getOrigin(a) - getOrigin(b);
-      return origin === 0 ? a.number > b.number : origin > 0;
+      const confirmingOrder = getConfirmingEpoch(a) - getConfirmingEpoch(b);
+      if (confirmingOrder !== 0) return confirmingOrder > 0;
+      const contentOrder = compareContents(update, current);
+      if (contentOrder !== 0) return contentOrder > 0;
+      const originOrder = getOriginEpoch(a) - getOriginEpoch(b);
+      return originOrder === 0 ? a.number > b.number : originOrder > 0;
     },
   };
 }
 
-function merge(told: EpochStart, known: EpochStart | undefined): EpochStart {
-  const { epoch } = told;
+/** Keeps the lower number, and the epoch settled if either start says so. */
+function mergeStarts(
+  reported: EpochStart,
+  known: EpochStart | undefined,
+): EpochStart {
+  const { epoch } = reported;
   const copiedThrough = Math.min(
-    told.copiedThrough,
+    reported.copiedThrough,
     known?.copiedThrough ?? Infinity,
   );
-  const isSettled = told.isSettled || known?.isSettled;
+  const isSettled = reported.isSettled || known?.isSettled;
   const start = { epoch, copiedThrough };
   return isSettled ? { ...start, isSettled } : start;
 }
 
 /**
- * Some facts tell by themselves which of two is newer, whatever became of the
- * source: a configuration carries a number that its author raises, and a start
- * of a server that drains is never ready again.
+ * Compares facts whose contents show which is newer, whatever happened to the
+ * source: a configuration carries a number that its author increments, and a
+ * server start that drains never becomes ready again.
  */
 function compareContents(
   { fact: a }: FactUpdate,
--- a/src/news/epochs_test.ts
+++ b/src/news/epochs_test.ts
@@ -10,11 +10,11 @@
 import type { FactUpdate } from "./types.ts";
 import { type EpochStart, makeVersion } from "./version.ts";
 
-function makeNews(number: number, epoch: number): FactUpdate {
+function makeUpdate(number: number, epoch: number): FactUpdate {
   return makeServerNews(makeServer("1"), number, epoch);
 }
 
-function makeDrainingNews(number: number, epoch: number): FactUpdate {
+function makeDrainingUpdate(number: number, epoch: number): FactUpdate {
   const server = makeServer("1", { state: "draining" });
   return makeServerNews(server, number, epoch);
 }
@@ -24,79 +24,89 @@
   { epoch: 2, copiedThrough: 50 },
 ];
 
-function createRestored() {
+function createRestoredTracker() {
   const epochs = createEpochTracker();
   epochs.record(RESTORED);
   return epochs;
 }
 
-// [what is told, what is known, whether that is news, title]
-const orders: [FactUpdate, FactUpdate, boolean, string][] = [
-  [makeNews(9, 1), makeNews(8, 1), true, "a later number of one epoch"],
-  [makeNews(51, 2), makeNews(60, 1), true, "a write after the restore"],
-  [makeNews(50, 2), makeNews(60, 1), false, "what the copy had"],
-  [makeNews(50, 2), makeNews(40, 1), true, "a copied fact that was missed"],
-  [makeNews(40, 2), makeNews(40, 1), false, "the same fact, read again"],
-  [makeNews(60, 1), makeNews(51, 2), false, "a fact that was lost"],
-  [makeNews(60, 1), makeNews(45, 2), true, "a lost fact beside a copied one"],
+// [update, stored update, whether the update is newer, title]
+const comparisons: [FactUpdate, FactUpdate, boolean, string][] = [
+  [makeUpdate(9, 1), makeUpdate(8, 1), true, "a later number of one epoch"],
+  [makeUpdate(51, 2), makeUpdate(60, 1), true, "a write after the restore"],
   [
-    makeDrainingNews(45, 2),
-    makeNews(60, 1),
+    makeUpdate(50, 2),
+    makeUpdate(60, 1),
+    false,
+    "a fact that may come from the copy",
+  ],
+  [
+    makeUpdate(50, 2),
+    makeUpdate(40, 1),
     true,
-    "a drain under a number that may be copied",
+    "a copied fact that this VM had missed",
   ],
+  [makeUpdate(40, 2), makeUpdate(40, 1), false, "the same fact, read again"],
+  [makeUpdate(60, 1), makeUpdate(51, 2), false, "a fact that was lost"],
+  [makeUpdate(60, 1), makeUpdate(45, 2), true, "a lost fact over a copied one"],
   [
-    makeNews(55, 2),
-    makeDrainingNews(60, 1),
+    makeDrainingUpdate(45, 2),
+    makeUpdate(60, 1),
+    true,
+    "a drain with a number that may come from the copy",
+  ],
+  [
+    makeUpdate(55, 2),
+    makeDrainingUpdate(60, 1),
     false,
-    "a server that is listed ready before it says again that it drains",
+    "a draining server listed as ready, before it writes its drain again",
   ],
   [
     makeConfigurationNews(7, 45, 2),
     makeConfigurationNews(6, 60, 1),
     true,
-    "a newer configuration under a number that may be copied",
+    "a newer configuration with a number that may come from the copy",
   ],
   [
     makeConfigurationNews(5, 55, 2),
     makeConfigurationNews(6, 60, 1),
     false,
-    "an older configuration that is written again first",
+    "an older configuration that is written again",
   ],
 ];
 
-for (const [told, known, isNews, title] of orders) {
+for (const [update, current, isNewer, title] of comparisons) {
   test(`after a restore: ${title}`, () => {
-    assert.is(createRestored().isNewer(told, known), isNews);
+    assert.is(createRestoredTracker().isNewer(update, current), isNewer);
   });
 }
 
-test("once settled all that is listed holds, however old it looks", () => {
-  const epochs = createRestored();
+test("facts of a settled epoch are newer, however low their numbers", () => {
+  const epochs = createRestoredTracker();
   epochs.record([{ epoch: 2, copiedThrough: 0, isSettled: true }]);
-  assert.ok(epochs.isNewer(makeNews(3, 2), makeNews(60, 1)));
-  assert.not(epochs.isNewer(makeNews(60, 1), makeNews(3, 2)));
+  assert.ok(epochs.isNewer(makeUpdate(3, 2), makeUpdate(60, 1)));
+  assert.not(epochs.isNewer(makeUpdate(60, 1), makeUpdate(3, 2)));
   const older = makeConfigurationNews(5, 45, 2);
   assert.ok(epochs.isNewer(older, makeConfigurationNews(6, 60, 1)));
 });
 
 test("two restores in a row leave the newest fact in place", () => {
-  const epochs = createRestored();
+  const epochs = createRestoredTracker();
   epochs.record([{ epoch: 3, copiedThrough: 55 }]);
-  assert.not(epochs.isNewer(makeNews(50, 3), makeNews(60, 1)));
-  assert.ok(epochs.isNewer(makeNews(54, 3), makeNews(60, 1)), "of epoch 2");
-  assert.ok(epochs.isNewer(makeNews(56, 3), makeNews(54, 2)));
+  assert.not(epochs.isNewer(makeUpdate(50, 3), makeUpdate(60, 1)));
+  assert.ok(epochs.isNewer(makeUpdate(54, 3), makeUpdate(60, 1)), "of epoch 2");
+  assert.ok(epochs.isNewer(makeUpdate(56, 3), makeUpdate(54, 2)));
 });
 
-test("an epoch that nobody saw changes nothing", () => {
+test("an epoch that no VM observed changes nothing", () => {
   const epochs = createEpochTracker();
   epochs.record([RESTORED[0], { epoch: 4, copiedThrough: 50 }]);
-  assert.not(epochs.isNewer(makeNews(45, 4), makeNews(60, 1)));
-  assert.ok(epochs.isNewer(makeNews(51, 4), makeNews(60, 1)));
+  assert.not(epochs.isNewer(makeUpdate(45, 4), makeUpdate(60, 1)));
+  assert.ok(epochs.isNewer(makeUpdate(51, 4), makeUpdate(60, 1)));
 });
 
-test("the lowest start that any VM read holds; earlier epochs are over", () => {
-  const epochs = createRestored();
+test("the lowest start that any VM read is kept; earlier epochs are dropped", () => {
+  const epochs = createRestoredTracker();
   assert.not(epochs.record([{ epoch: 2, copiedThrough: 55 }]));
   assert.ok(epochs.record([{ epoch: 2, copiedThrough: 48 }]));
   assert.is(epochs.getOriginEpoch(makeVersion(49, 2)), 2);
@@ -109,15 +119,15 @@
   assert.not(epochs.record(RESTORED));
 });
 
-test("a source that names no epoch orders by its numbers", () => {
+test("facts of a source without epochs are ordered by their numbers", () => {
   const epochs = createEpochTracker();
-  assert.ok(epochs.isNewer(makeNews(2, 0), makeNews(1, 0)));
+  assert.ok(epochs.isNewer(makeUpdate(2, 0), makeUpdate(1, 0)));
   assert.is(epochs.getLatest(), 0);
   assert.is(epochs.getSettled(), 0);
 });
 
-/** A source with true writes, and VMs that read it at moments of their own. */
-test("VMs that hear of the same facts in any order agree", () => {
+/** Two VMs get the same epoch starts and updates, in opposite order. */
+test("VMs agree on the newest fact, whatever the order of updates", () => {
   const versions = fc.record({
     epoch: fc.integer({ min: 1, max: 3 }),
     number: fc.integer({ min: 1, max: 30 }),
@@ -130,21 +140,27 @@
     { minLength: 1, maxLength: 6 },
   );
   fc.assert(
-    fc.property(starts, fc.array(versions, { minLength: 1 }), (all, told) => {
-      const epochs = createEpochTracker();
-      epochs.record(all);
-      const other = createEpochTracker();
-      for (const start of all.toReversed()) other.record([start]);
-      const items = told.map(({ epoch, number }) => makeNews(number, epoch));
-      const keep = (known: FactUpdate, news: FactUpdate) =>
-        epochs.isNewer(news, known) ? news : known;
-      const keepOther = (known: FactUpdate, news: FactUpdate) =>
-        other.isNewer(news, known) ? news : known;
-      const one = items.reduce(keep).version;
-      const two = items.toReversed().reduce(keepOther).version;
-      assert.is(one.number, two.number);
-      assert.is(epochs.getOriginEpoch(one), other.getOriginEpoch(two));
-    }),
+    fc.property(
+      starts,
+      fc.array(versions, { minLength: 1 }),
+      (reported, received) => {
+        const epochs = createEpochTracker();
+        epochs.record(reported);
+        const other = createEpochTracker();
+        for (const start of reported.toReversed()) other.record([start]);
+        const updates = received.map(({ epoch, number }) =>
+          makeUpdate(number, epoch)
+        );
+        const keep = (current: FactUpdate, update: FactUpdate) =>
+          epochs.isNewer(update, current) ? update : current;
+        const keepOther = (current: FactUpdate, update: FactUpdate) =>
+          other.isNewer(update, current) ? update : current;
+        const one = updates.reduce(keep).version;
+        const two = updates.toReversed().reduce(keepOther).version;
+        assert.is(one.number, two.number);
+        assert.is(epochs.getOriginEpoch(one), other.getOriginEpoch(two));
+      },
+    ),
   );
 });
 
--- a/src/news/fact_store.ts
+++ b/src/news/fact_store.ts
@@ -1,5 +1,6 @@
 /**
- * All facts that this VM knows, by key; the newest version of each holds.
+ * In-memory store of the facts that this VM knows, by key. The newest version of
+ * each fact is kept.
  *
  * @module
  */
@@ -16,114 +17,157 @@
 } from "./types.ts";
 import { type EpochStart, type FactVersion, makeVersion } from "./version.ts";
 
-/** Told of each fact that changed. */
+/**
+ * Called for each fact that changed.
+ *
+ * @param update The new version of the fact, or its removal.
+ * @param previous The fact that it replaces; undefined where there was none.
+ */
 export type FactListener = (
-  item: FactUpdate,
+  update: FactUpdate,
   previous: Fact | undefined,
 ) => void;
 
 /** The facts of one VM. */
 export interface FactStore {
   /**
-   * Takes changes in.
+   * Applies updates.
    *
-   * @param items Facts from any source, in any order.
+   * @param updates Updates from any source, in any order.
    * @returns Those that were new to this VM.
    */
-  apply(items: readonly FactUpdate[]): FactUpdate[];
+  apply(updates: readonly FactUpdate[]): FactUpdate[];
   /**
-   * Takes a whole topic in: what it does not list is removed, except facts of
-   * earlier epochs while what it lists may stem from a copy.
+   * Applies a full listing of a topic by its source. Facts that the listing
+   * lacks are removed, except those of earlier epochs while the listing may come
+   * from a restored copy.
    *
    * @param topic The topic.
-   * @param batch All its facts as of one moment.
-   * @returns Those that were new to this VM, removals among them.
+   * @param batch All its facts as of one version.
+   * @returns The updates that were new to this VM, including removals.
    */
   applySnapshot(topic: Topic, batch: FactBatch): FactUpdate[];
   /**
-   * Takes a topic in as another VM knows it, which knows all of it. Facts that
-   * it lacks and that are older than the settled epoch were lost.
+   * Applies all facts of a topic as sent by another VM that knows the whole
+   * topic. Facts that it lacks and that are older than the settled epoch were
+   * lost in a restore, and are removed.
    *
    * @param topic The topic.
-   * @param items All facts of the other VM.
-   * @returns Those that were new to this VM, removals among them.
+   * @param updates All facts of the other VM.
+   * @returns The updates that were new to this VM, including removals.
+   */
+  applyPeerSnapshot(
+    topic: Topic,
+    updates: readonly FactUpdate[],
+  ): FactUpdate[];
+  /**
+   * @param topic The topic.
+   * @returns All its facts and removals, for a VM that lacks some of them.
    */
-  applyPeerSnapshot(topic: Topic, items: readonly FactUpdate[]): FactUpdate[];
-  /** @returns All facts and removals of a topic, for a VM that lacks some. */
   listTopic(topic: Topic): FactUpdate[];
   /**
-   * @param key A key.
-   * @returns What is known under it.
+   * @param key Key of a fact.
+   * @returns The newest update with that key; undefined where there is none.
    */
   get(key: string): FactUpdate | undefined;
   /**
-   * Notes when epochs of a topic's source began.
+   * Records when epochs of a topic's source began.
    *
-   * @returns Whether anything of it was new.
+   * @param topic The topic.
+   * @param starts The epoch starts to record.
+   * @returns Whether any of them was new.
    */
   recordEpochs(topic: Topic, starts: readonly EpochStart[]): boolean;
-  /** @returns Those that still matter. */
+  /**
+   * @param topic The topic.
+   * @returns The starts of the latest settled epoch and of those after it.
+   */
   listEpochs(topic: Topic): EpochStart[];
-  /** @returns The latest epoch of a topic's source; 0 where none is known. */
+  /**
+   * @param topic The topic.
+   * @returns The latest epoch of its source; 0 where none is known.
+   */
   getLatestEpoch(topic: Topic): number;
-  /** @returns Whether that epoch is settled; true where none is known. */
+  /**
+   * @param topic The topic.
+   * @returns Whether the latest epoch is settled; true where none is known.
+   */
   isSettled(topic: Topic): boolean;
   /**
-   * @returns Whether the source was restored so lately that facts may be lost
-   *   which this VM never read.
+   * @param topic The topic.
+   * @returns Whether its source was restored and the new epoch isn't settled yet:
+   *   the source may have lost facts that this VM never read.
    */
   hasUnsettledRestore(topic: Topic): boolean;
-  /** @returns Whether this VM knows all facts of a topic, of no lost epoch. */
+  /**
+   * @param topic The topic.
+   * @returns Whether this VM knows all its facts, and none that a restore lost.
+   */
   isComplete(topic: Topic): boolean;
-  /** @returns Whether a fact was written in the latest epoch of its source. */
+  /**
+   * @param key Key of a fact.
+   * @returns Whether the fact was written in the latest epoch of its source.
+   */
   isFromLatestEpoch(key: string): boolean;
-  /** @returns What tells this board's facts of a topic from another's. */
+  /**
+   * @param topic The topic.
+   * @returns A digest for comparing this store's facts with another store's.
+   */
   getDigest(topic: Topic): TopicDigest;
   /** @returns The digests of all topics. */
   getDigests(): Record<Topic, TopicDigest>;
   /**
-   * Notes that the facts of a topic were complete some time ago.
+   * Records that this VM knew all facts of a topic at an earlier time.
    *
    * @param topic The topic.
-   * @param ageMs How long ago.
+   * @param ageMs How long ago that was, in ms.
    */
   recordComplete(topic: Topic, ageMs: number): void;
   /**
    * @param topic The topic.
-   * @returns How long ago its facts were known to be complete.
+   * @returns Time since its facts were last known to be complete, in ms;
+   *   infinite where they never were.
    */
   getAgeMs(topic: Topic): number;
-  /** Registers who is told of changes, in order. */
+  /**
+   * Registers a listener for changes. Listeners are called in the order in which
+   * they were registered.
+   *
+   * @param listener The listener.
+   */
   subscribe(listener: FactListener): void;
 }
 
 /**
- * Removals are remembered so that a late message can't bring a removed fact
- * back; two minutes exceed every delay of the links between VMs.
+ * Removals are kept so that a late message can't restore a removed fact. Two
+ * minutes exceed every delay of the links between VMs.
  */
-const REMOVAL_MEMORY_MS = 120_000;
+const REMOVAL_RETENTION_MS = 120_000;
 
-/** Facts that were known to be complete by then are complete. */
-const COMPLETE_MS = 1_500;
+/** Maximum age at which the facts of a topic count as complete. */
+const MAX_COMPLETE_AGE_MS = 1_500;
 
-interface Known {
-  item: FactUpdate;
-  sinceMs: number;
+interface StoredUpdate {
+  update: FactUpdate;
+  storedAtMs: number;
 }
 
 interface TopicState {
   epochs: EpochTracker;
+  /** Cached digest; undefined after a change. */
   digest: TopicDigest | undefined;
 }
 
 /**
- * @param clock The clock.
- * @returns A board with no facts.
+ * Creates an empty store.
+ *
+ * @param clock Clock for the age of facts and removals.
+ * @returns The store.
  */
 export function createFactStore(clock: Clock): FactStore {
-  const known = new Map<string, Known>();
-  const currentAtMs = new Map<Topic, number>();
-  const topics = new Map<Topic, TopicState>(
+  const stored = new Map<string, StoredUpdate>();
+  const completeAtMs = new Map<Topic, number>();
+  const topicStates = new Map<Topic, TopicState>(
     TOPICS.map((topic) => [topic, {
       epochs: createEpochTracker(),
       digest: undefined,
@@ -132,7 +176,7 @@
   const listeners: FactListener[] = [];
 
   function getEpochs(topic: Topic): EpochTracker {
-    return topics.get(topic)!.epochs;
+    return topicStates.get(topic)!.epochs;
   }
 
   function isSettled(topic: Topic): boolean {
@@ -141,100 +185,109 @@
   }
 
   function getAgeMs(topic: Topic): number {
-    const atMs = currentAtMs.get(topic);
+    const atMs = completeAtMs.get(topic);
     return atMs === undefined ? Infinity : clock.monotonicMs() - atMs;
   }
 
   function getDigest(topic: Topic): TopicDigest {
-    const state = topics.get(topic)!;
-    return state.digest ??= makeDigest(topic, state.epochs);
+    const state = topicStates.get(topic)!;
+    return state.digest ??= computeDigest(topic, state.epochs);
   }
 
-  function makeDigest(topic: Topic, epochs: EpochTracker): TopicDigest {
+  function computeDigest(topic: Topic, epochs: EpochTracker): TopicDigest {
     let facts = 0;
     let versionSum = 0;
     let epochSum = 0;
-    for (const { item } of known.values()) {
-      if (item.topic !== topic || item.fact === undefined) continue;
+    for (const { update } of stored.values()) {
+      if (update.topic !== topic || update.fact === undefined) continue;
       facts++;
-      versionSum += item.version.number;
-      epochSum += epochs.getOriginEpoch(item.version);
+      versionSum += update.version.number;
+      epochSum += epochs.getOriginEpoch(update.version);
     }
     const starts = epochs.list();
     if (starts.length === 0) return { facts, versionSum };
     return { facts, versionSum, epochSum, epochs: starts };
   }
 
-  function applyOne(item: FactUpdate): boolean {
-    const previous = known.get(item.key);
-    const state = topics.get(item.topic)!;
+  function applyUpdate(update: FactUpdate): boolean {
+    const previous = stored.get(update.key);
+    const state = topicStates.get(update.topic)!;
     const isNewer = previous === undefined
-      ? item.version.epoch >= state.epochs.getSettled()
-      : state.epochs.isNewer(item, previous.item);
+      ? update.version.epoch >= state.epochs.getSettled()
+      : state.epochs.isNewer(update, previous.update);
     if (!isNewer) return false;
-    known.set(item.key, { item, sinceMs: clock.monotonicMs() });
+    stored.set(update.key, { update, storedAtMs: clock.monotonicMs() });
     state.digest = undefined;
-    if (item.fact === undefined && previous?.item.fact === undefined) {
+    if (update.fact === undefined && previous?.update.fact === undefined) {
       return previous === undefined;
     }
-    for (const listener of listeners) listener(item, previous?.item.fact);
+    for (const listener of listeners) listener(update, previous?.update.fact);
     return true;
   }
 
-  function apply(items: readonly FactUpdate[]): FactUpdate[] {
-    forgetOldRemovals();
-    return items.filter(applyOne);
+  function apply(updates: readonly FactUpdate[]): FactUpdate[] {
+    deleteExpiredRemovals();
+    return updates.filter(applyUpdate);
   }
 
-  function applyWhole(topic: Topic, batch: FactBatch): FactUpdate[] {
+  function applySnapshot(topic: Topic, batch: FactBatch): FactUpdate[] {
     const missing = listMissing(topic, batch.items)
-      .filter((item) => covers(topic, batch.version, item.version));
-    const removals = missing.map((item) => remove(item, batch.version));
+      .filter((update) => covers(topic, batch.version, update.version));
+    const removals = missing.map((update) =>
+      makeRemoval(update, batch.version)
+    );
     return apply([...batch.items, ...removals]);
   }
 
-  function applySettled(
+  function applyPeerSnapshot(
     topic: Topic,
-    items: readonly FactUpdate[],
+    updates: readonly FactUpdate[],
   ): FactUpdate[] {
     const settled = getEpochs(topic).getSettled();
-    const lost = listMissing(topic, items)
+    const lost = listMissing(topic, updates)
       .filter(({ version }) => version.epoch < settled);
-    const newest = getNewest(items, settled);
-    const removals = lost.map((item) => remove(item, newest));
-    return apply([...items, ...removals]);
+    const newest = getNewestVersion(updates, settled);
+    const removals = lost.map((update) => makeRemoval(update, newest));
+    return apply([...updates, ...removals]);
   }
 
+  /** Lists the stored facts of a topic that a listing lacks. */
   function listMissing(
     topic: Topic,
-    items: readonly FactUpdate[],
+    updates: readonly FactUpdate[],
   ): FactUpdate[] {
-    const listed = new Set(items.map((item) => item.key));
-    return listFacts(topic).filter(({ key }) => !listed.has(key));
+    const listedKeys = new Set(updates.map((update) => update.key));
+    return listFacts(topic).filter(({ key }) => !listedKeys.has(key));
   }
 
   function listFacts(topic: Topic): FactUpdate[] {
-    return [...known.values()].map(({ item }) => item).filter((item) =>
-      item.topic === topic && item.fact !== undefined
+    return [...stored.values()].map(({ update }) => update).filter((update) =>
+      update.topic === topic && update.fact !== undefined
     );
   }
 
-  /** Whoever knows all of a topic knows all up to its newest fact. */
-  function getNewest(items: readonly FactUpdate[], epoch: number): FactVersion {
-    const numbers = items.map(({ version }) => version)
+  /** A VM that knows a whole topic knows all of it up to its newest fact. */
+  function getNewestVersion(
+    updates: readonly FactUpdate[],
+    epoch: number,
+  ): FactVersion {
+    const numbers = updates.map(({ version }) => version)
       .filter((version) => version.epoch === epoch)
       .map(({ number }) => number);
     return makeVersion(Math.max(0, ...numbers), epoch);
   }
 
-  function remove(
+  function makeRemoval(
     { topic, key }: FactUpdate,
     version: FactVersion,
   ): FactUpdate {
     return { topic, key, version };
   }
 
-  /** Whether a list as of one version would show a fact of another. */
+  /**
+   * Whether a listing as of one version would contain a fact of another version
+   * that still exists.
+   */
   function covers(
     topic: Topic,
     list: FactVersion,
@@ -245,26 +298,26 @@
       getEpochs(topic).getSettled() >= list.epoch;
   }
 
-  function forgetOldRemovals(): void {
-    const limitMs = clock.monotonicMs() - REMOVAL_MEMORY_MS;
-    for (const [key, { item, sinceMs }] of known) {
-      if (item.fact === undefined && sinceMs < limitMs) known.delete(key);
+  function deleteExpiredRemovals(): void {
+    const limitMs = clock.monotonicMs() - REMOVAL_RETENTION_MS;
+    for (const [key, { update, storedAtMs }] of stored) {
+      if (update.fact === undefined && storedAtMs < limitMs) stored.delete(key);
     }
   }
 
   return {
     apply,
-    applySnapshot: applyWhole,
-    applyPeerSnapshot: applySettled,
+    applySnapshot,
+    applyPeerSnapshot,
     listTopic: (topic) =>
-      [...known.values()].map(({ item }) => item)
-        .filter((item) => item.topic === topic),
-    get: (key) => known.get(key)?.item,
+      [...stored.values()].map(({ update }) => update)
+        .filter((update) => update.topic === topic),
+    get: (key) => stored.get(key)?.update,
     recordEpochs(topic, starts) {
-      const state = topics.get(topic)!;
-      const isNews = state.epochs.record(starts);
-      if (isNews) state.digest = undefined;
-      return isNews;
+      const state = topicStates.get(topic)!;
+      const isNew = state.epochs.record(starts);
+      if (isNew) state.digest = undefined;
+      return isNew;
     },
     listEpochs: (topic) => getEpochs(topic).list(),
     getLatestEpoch: (topic) => getEpochs(topic).getLatest(),
@@ -279,14 +332,14 @@
     },
     isComplete(topic) {
       const settled = getEpochs(topic).getSettled();
-      return getAgeMs(topic) <= COMPLETE_MS &&
+      return getAgeMs(topic) <= MAX_COMPLETE_AGE_MS &&
         listFacts(topic).every(({ version }) => version.epoch >= settled);
     },
     isFromLatestEpoch(key) {
-      const item = known.get(key)?.item;
-      if (item === undefined) return false;
-      const epochs = getEpochs(item.topic);
-      return epochs.getOriginEpoch(item.version) === epochs.getLatest();
+      const update = stored.get(key)?.update;
+      if (update === undefined) return false;
+      const epochs = getEpochs(update.topic);
+      return epochs.getOriginEpoch(update.version) === epochs.getLatest();
     },
     getDigest,
     getDigests: () => ({
@@ -296,8 +349,8 @@
     }),
     recordComplete(topic, ageMs) {
       const atMs = clock.monotonicMs() - ageMs;
-      const before = currentAtMs.get(topic) ?? -Infinity;
-      if (atMs > before) currentAtMs.set(topic, atMs);
+      const previousMs = completeAtMs.get(topic) ?? -Infinity;
+      if (atMs > previousMs) completeAtMs.set(topic, atMs);
     },
     getAgeMs,
     subscribe: (listener) => void listeners.push(listener),
@@ -305,9 +358,10 @@
 }
 
 /**
- * @param board A board.
- * @returns The age of its least current topic, in ms.
+ * @param store Store of the facts.
+ * @returns The greatest age of a topic that is read from a source, in ms;
+ *   infinite where one was never complete.
  */
-export function getOldestAgeMs(board: FactStore): number {
-  return Math.max(...SOURCE_TOPICS.map((topic) => board.getAgeMs(topic)));
+export function getOldestAgeMs(store: FactStore): number {
+  return Math.max(...SOURCE_TOPICS.map((topic) => store.getAgeMs(topic)));
 }
--- a/src/news/fact_store_test.ts
+++ b/src/news/fact_store_test.ts
@@ -14,69 +14,69 @@
   };
 }
 
-test("the highest version holds, in whatever order news arrive", () => {
-  const board = createFactStore(createFakeClock());
+test("the highest version is kept, whatever the order of updates", () => {
+  const store = createFactStore(createFakeClock());
   const ready = makeServerNews(makeServer("1"), 5);
   const draining = makeServerNews(makeServer("1", { state: "draining" }), 7);
-  assert.is(board.apply([draining]).length, 1);
-  assert.is(board.apply([ready]).length, 0);
-  assert.equal(board.listTopic("servers"), [draining]);
+  assert.is(store.apply([draining]).length, 1);
+  assert.is(store.apply([ready]).length, 0);
+  assert.equal(store.listTopic("servers"), [draining]);
 });
 
-test("late news do not bring a removed fact back", () => {
-  const board = createFactStore(createFakeClock());
-  board.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
-  board.apply([makeServerNews(makeServer("1"), 6)]);
-  assert.ok(board.listTopic("servers").every(({ fact }) => fact === undefined));
+test("a late update does not restore a removed fact", () => {
+  const store = createFactStore(createFakeClock());
+  store.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
+  store.apply([makeServerNews(makeServer("1"), 6)]);
+  assert.ok(store.listTopic("servers").every(({ fact }) => fact === undefined));
 });
 
-test("a whole list removes what it lacks, except newer facts", () => {
-  const board = createFactStore(createFakeClock());
-  board.apply([
+test("a snapshot removes the facts that it lacks, except newer ones", () => {
+  const store = createFactStore(createFakeClock());
+  store.apply([
     makeServerNews(makeServer("old"), 5),
     makeServerNews(makeServer("kept"), 6),
     makeServerNews(makeServer("newer"), 20),
   ]);
   const kept = makeServerNews(makeServer("kept"), 6);
-  const changed = board.applySnapshot("servers", {
+  const changed = store.applySnapshot("servers", {
     items: [kept],
     version: makeVersion(10),
   });
   assert.equal(changed.map(({ key }) => key), ["server/old"]);
-  const left = board.listTopic("servers").filter(({ fact }) =>
+  const left = store.listTopic("servers").filter(({ fact }) =>
     fact !== undefined
   );
   assert.equal(left.map(({ key }) => key), ["server/kept", "server/newer"]);
 });
 
-test("a whole list leaves the other topic alone", () => {
-  const board = createFactStore(createFakeClock());
-  board.apply([makeServerNews(makeServer("1"), 5)]);
-  board.applySnapshot("operations", { items: [], version: makeVersion(10) });
-  assert.is(board.listTopic("servers")[0].fact?.kind, "server");
+test("a snapshot leaves the other topic unchanged", () => {
+  const store = createFactStore(createFakeClock());
+  store.apply([makeServerNews(makeServer("1"), 5)]);
+  store.applySnapshot("operations", { items: [], version: makeVersion(10) });
+  assert.is(store.listTopic("servers")[0].fact?.kind, "server");
 });
 
-test("facts are as old as the last complete reading, own or told", () => {
+test("facts are as old as the last complete read, own or reported", () => {
   const clock = createFakeClock();
-  const board = createFactStore(clock);
-  assert.is(board.getAgeMs("servers"), Infinity);
-  board.recordComplete("servers", 300);
+  const store = createFactStore(clock);
+  assert.is(store.getAgeMs("servers"), Infinity);
+  store.recordComplete("servers", 300);
   clock.advance(100);
-  assert.is(board.getAgeMs("servers"), 400);
-  board.recordComplete("servers", 900);
-  assert.is(board.getAgeMs("servers"), 400);
+  assert.is(store.getAgeMs("servers"), 400);
+  store.recordComplete("servers", 900);
+  assert.is(store.getAgeMs("servers"), 400);
 });
 
-test("removals are forgotten after two minutes", () => {
+test("removals are deleted after two minutes", () => {
   const clock = createFakeClock();
-  const board = createFactStore(clock);
-  board.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
+  const store = createFactStore(clock);
+  store.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
   clock.advance(130_000);
-  board.apply([]);
-  assert.is(board.listTopic("servers").length, 0);
+  store.apply([]);
+  assert.is(store.listTopic("servers").length, 0);
 });
 
-test("digests tell boards apart that know different facts", () => {
+test("stores with different facts have different digests", () => {
   const [one, other] = [0, 1].map(() => createFactStore(createFakeClock()));
   one.apply([makeServerNews(makeServer("1"), 1)]);
   one.apply([makeServerNews(makeServer("2"), 2)]);
@@ -93,72 +93,72 @@
   { epoch: 2, copiedThrough: 50 },
 ];
 
-/** Knows a server of before the copy, one that joined and one that left since. */
-function createRestoredBoard() {
-  const board = createFactStore(createFakeClock());
-  board.recordEpochs("servers", RESTORED);
-  board.apply([
+/** Has a server from before the copy, one that joined since and one that left. */
+function createRestoredStore() {
+  const store = createFactStore(createFakeClock());
+  store.recordEpochs("servers", RESTORED);
+  store.apply([
     makeServerNews(makeServer("old"), 40, 1),
     makeServerNews(makeServer("joined"), 60, 1),
     { ...makeRemoval("left", 61), version: makeVersion(61, 1) },
   ]);
-  return board;
+  return store;
 }
 
-function listNames(board: FactStore): string[] {
-  return board.listTopic("servers").filter(({ fact }) => fact !== undefined)
+function listNames(store: FactStore): string[] {
+  return store.listTopic("servers").filter(({ fact }) => fact !== undefined)
     .map(({ key }) => key).sort();
 }
 
-test("a list of a copy takes nothing back", () => {
-  const board = createRestoredBoard();
+test("a snapshot of a restored copy reverts nothing", () => {
+  const store = createRestoredStore();
   const left = makeServerNews(makeServer("left"), 45, 2);
   const old = makeServerNews(makeServer("old"), 40, 2);
   const batch = { items: [old, left], version: makeVersion(52, 2) };
-  assert.equal(board.applySnapshot("servers", batch), []);
-  assert.equal(listNames(board), ["server/joined", "server/old"]);
+  assert.equal(store.applySnapshot("servers", batch), []);
+  assert.equal(listNames(store), ["server/joined", "server/old"]);
 });
 
-test("a list of a settled epoch holds, however low its numbers", () => {
-  const board = createRestoredBoard();
-  board.recordEpochs("servers", [{
+test("a snapshot of a settled epoch applies, however low its numbers", () => {
+  const store = createRestoredStore();
+  store.recordEpochs("servers", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
   const left = makeServerNews(makeServer("left"), 45, 2);
   const batch = { items: [left], version: makeVersion(52, 2) };
-  board.applySnapshot("servers", batch);
-  assert.equal(listNames(board), ["server/left"]);
+  store.applySnapshot("servers", batch);
+  assert.equal(listNames(store), ["server/left"]);
 });
 
-test("a VM that reads nothing drops lost facts once another one told all", () => {
-  const board = createRestoredBoard();
-  board.recordEpochs("servers", [{
+test("a VM that does not read drops lost facts by a peer's snapshot", () => {
+  const store = createRestoredStore();
+  store.recordEpochs("servers", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.equal(listNames(board), ["server/joined", "server/old"]);
-  board.applyPeerSnapshot("servers", [
+  assert.equal(listNames(store), ["server/joined", "server/old"]);
+  store.applyPeerSnapshot("servers", [
     makeServerNews(makeServer("old"), 40, 2),
   ]);
-  assert.equal(listNames(board), ["server/old"]);
+  assert.equal(listNames(store), ["server/old"]);
 });
 
-test("a VM that is behind brings no lost fact back", () => {
-  const board = createFactStore(createFakeClock());
-  board.recordEpochs("servers", [{
+test("an update of a VM that is behind does not restore a lost fact", () => {
+  const store = createFactStore(createFakeClock());
+  store.recordEpochs("servers", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.equal(board.apply([makeServerNews(makeServer("lost"), 60, 1)]), []);
+  assert.equal(store.apply([makeServerNews(makeServer("lost"), 60, 1)]), []);
 });
 
-test("digests tell a lost fact from one that got its number again", () => {
+test("digests differ between a lost fact and one that reused its number", () => {
   const [one, other] = [0, 1].map(() => createFactStore(createFakeClock()));
-  for (const board of [one, other]) board.recordEpochs("servers", RESTORED);
+  for (const store of [one, other]) store.recordEpochs("servers", RESTORED);
   one.apply([makeServerNews(makeServer("1"), 60, 1)]);
   other.apply([makeServerNews(makeServer("1"), 60, 2)]);
   assert.not(
@@ -166,33 +166,33 @@
   );
 });
 
-test("the operator's next configuration proves more than a copied one", () => {
-  const board = createRestoredBoard();
-  assert.ok(board.hasUnsettledRestore("servers"));
-  assert.not(board.isFromLatestEpoch("server/old"));
-  board.apply([makeServerNews(makeServer("old"), 55, 2)]);
-  assert.ok(board.isFromLatestEpoch("server/old"));
-  board.recordEpochs("servers", [{
+test("a fact written after a restore is from the latest epoch, a copied one not", () => {
+  const store = createRestoredStore();
+  assert.ok(store.hasUnsettledRestore("servers"));
+  assert.not(store.isFromLatestEpoch("server/old"));
+  store.apply([makeServerNews(makeServer("old"), 55, 2)]);
+  assert.ok(store.isFromLatestEpoch("server/old"));
+  store.recordEpochs("servers", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.not(board.hasUnsettledRestore("servers"));
+  assert.not(store.hasUnsettledRestore("servers"));
 });
 
-test("only a VM that read all of it lately knows a whole topic", () => {
+test("a topic is complete only after a recent read, without older epochs", () => {
   const clock = createFakeClock();
-  const board = createFactStore(clock);
-  board.apply([makeServerNews(makeServer("1"), 1, 1)]);
-  assert.not(board.isComplete("servers"));
-  board.recordComplete("servers", 0);
-  assert.ok(board.isComplete("servers"));
-  board.recordEpochs("servers", [{
+  const store = createFactStore(clock);
+  store.apply([makeServerNews(makeServer("1"), 1, 1)]);
+  assert.not(store.isComplete("servers"));
+  store.recordComplete("servers", 0);
+  assert.ok(store.isComplete("servers"));
+  store.recordEpochs("servers", [{
     epoch: 2,
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.not(board.isComplete("servers"), "a fact is of an epoch before");
+  assert.not(store.isComplete("servers"), "a fact is of an earlier epoch");
 });
 
 test.run();
--- a/src/news/fallback_read_test.ts
+++ b/src/news/fallback_read_test.ts
@@ -5,33 +5,33 @@
   needsFallbackRead,
 } from "./fallback_read.ts";
 
-const SMALL: FallbackReadContext = {
+const WITHOUT_HUBS: FallbackReadContext = {
   hasVmList: true,
   isBehindHub: false,
   uptimeMs: 60_000,
 };
-const LARGE: FallbackReadContext = { ...SMALL, isBehindHub: true };
+const BEHIND_HUB: FallbackReadContext = { ...WITHOUT_HUBS, isBehindHub: true };
 
-test("a VM that knows no others yet waits to be told who reads", () => {
-  const view = { ...SMALL, isPlaced: false, upMs: 500 };
-  assert.not(needsFallbackRead(Infinity, view));
-  assert.ok(needsFallbackRead(Infinity, { ...view, uptimeMs: 1_500 }));
+test("a VM without the list of VMs waits for it, 1.5 s at most", () => {
+  const context = { ...WITHOUT_HUBS, hasVmList: false, uptimeMs: 500 };
+  assert.not(needsFallbackRead(Infinity, context));
+  assert.ok(needsFallbackRead(Infinity, { ...context, uptimeMs: 1_500 }));
 });
 
-test("in a small fleet a VM without facts reads them at once", () => {
-  assert.ok(needsFallbackRead(Infinity, { ...SMALL, uptimeMs: 100 }));
+test("without hubs, a VM without facts reads them at once", () => {
+  assert.ok(needsFallbackRead(Infinity, { ...WITHOUT_HUBS, uptimeMs: 100 }));
 });
 
-test("behind hubs a VM that just started is told, or reads after 3 s", () => {
-  assert.not(needsFallbackRead(Infinity, { ...LARGE, uptimeMs: 2_900 }));
-  assert.ok(needsFallbackRead(Infinity, { ...LARGE, uptimeMs: 3_000 }));
+test("behind a hub, a VM that just started waits 3 s for the hub", () => {
+  assert.not(needsFallbackRead(Infinity, { ...BEHIND_HUB, uptimeMs: 2_900 }));
+  assert.ok(needsFallbackRead(Infinity, { ...BEHIND_HUB, uptimeMs: 3_000 }));
 });
 
-test("the second hub reads before the VMs behind it do", () => {
-  assert.not(needsFallbackRead(1_400, SMALL));
-  assert.ok(needsFallbackRead(1_500, SMALL));
-  assert.not(needsFallbackRead(2_100, LARGE));
-  assert.ok(needsFallbackRead(2_200, LARGE));
+test("VMs behind a hub read later than their second hub does", () => {
+  assert.not(needsFallbackRead(1_400, WITHOUT_HUBS));
+  assert.ok(needsFallbackRead(1_500, WITHOUT_HUBS));
+  assert.not(needsFallbackRead(2_100, BEHIND_HUB));
+  assert.ok(needsFallbackRead(2_200, BEHIND_HUB));
 });
 
 test.run();
--- a/src/news/freshness.ts
+++ b/src/news/freshness.ts
@@ -1,93 +1,97 @@
 /**
- * How old this VM's knowledge of the configuration is, proven without a clock
+ * Tracks the age of this VM's knowledge of the configuration, without a clock
  * that VMs share.
  *
- * A reading proves what held when it was asked for, however late its answer
- * came. Between VMs age travels the same way: a VM sends stamps of its own time;
- * another answers with the last stamp it got, how long ago that was, and how old
- * its own knowledge is. Late, delayed or doubled messages then prove less, never
- * more.
+ * A read proves the state at the time of its request, however late its response
+ * arrives. Between VMs, age is proven in the same way: a VM sends stamps of its
+ * own clock; another VM answers with the last stamp it received, how long ago
+ * that was, and the age of its own knowledge. Late, delayed or duplicate messages
+ * then prove less, never more.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** A moment of this VM. */
+/** An instant by the clocks of this VM. */
 export interface Instant {
   monotonicMs: number;
-  /** Runs on while the VM is suspended, and may jump. */
+  /** Continues while the VM is suspended, and may jump. */
   wallMs: number;
 }
 
-/** What a VM says to another of how old its knowledge is. */
+/** Proof of the age of a VM's knowledge, sent to another VM. */
 export interface Proof {
-  /** Version of the newest configuration at that time. */
+  /** Version of the newest configuration at the time that is proven. */
   version: number;
-  /** How long ago that time was when the proof was sent. */
+  /** Age of that time when the proof was sent, in ms. */
   ageMs: number;
   /** The receiver's last stamp. */
   stamp: number;
-  /** How long before the sending the stamp had arrived. */
+  /** Time between the arrival of the stamp and the sending of the proof, in ms. */
   heldMs: number;
 }
 
-/** Knowledge and its age. */
+/** Age of what this VM knows of the configuration. */
 export interface FreshnessTracker {
-  /** @returns This moment, as of which a reading that is asked for now speaks. */
+  /** @returns The current instant; a read that is requested now proves it. */
   getInstant(): Instant;
   /**
-   * Notes that the board was complete as of a moment.
+   * Records that the fact store was complete as of an instant.
    *
-   * @param askedAt When the reading was asked for.
+   * @param requestedAt When the read was requested.
    */
-  recordRead(askedAt: Instant): void;
-  /** @returns A stamp of this moment, for other VMs. */
+  recordRead(requestedAt: Instant): void;
+  /** @returns A stamp of the current instant, to be sent to other VMs. */
   makeStamp(): number;
   /**
-   * @param proof What another VM said.
-   * @returns Whether it makes the knowledge newer by much.
+   * Records a proof from another VM.
+   *
+   * @param proof The proof.
+   * @returns Whether it lowers the age enough to be passed on.
    */
   recordProof(proof: Proof): boolean;
   /**
-   * @param stamp The stamp of the VM that is told.
-   * @param stampedAt When it arrived.
-   * @returns What to tell that VM; undefined where nothing is proven here.
+   * @param stamp Last stamp of the VM that receives the proof.
+   * @param stampedAt When the stamp arrived.
+   * @returns The proof to send; undefined where nothing is proven here.
    */
   makeProof(stamp: number, stampedAt: Instant): Proof | undefined;
-  /** @returns How old the knowledge is; infinite before the first proof. */
+  /** @returns Age of the configuration, in ms; infinite before the first proof. */
   getAgeMs(): number;
   /** @returns Whether a newer configuration exists than the one known here. */
   isBehind(): boolean;
 }
 
-/** What knowledge needs. */
+/** Dependencies of a freshness tracker. */
 export interface FreshnessTrackerOptions {
   clock: Clock;
-  /** @returns Version of the configuration that is known; 0 before the first. */
+  /** @returns Version of the known configuration; 0 before the first. */
   getVersion: () => number;
 }
 
-/** Proofs that are newer by less are not told on. */
-const TELLING_GAIN_MS = 200;
+/** Proofs that lower the age by less aren't passed on. */
+const MIN_RELAY_GAIN_MS = 200;
 /** Stamps are sent every 800 ms; answers to older ones prove nothing useful. */
 const MAX_STAMPS = 32;
 
-interface Proven {
+interface ProvenVersion {
   version: number;
   asOf: Instant;
 }
 
 /**
- * @param parts What knowledge needs.
- * @returns Knowledge that nothing proves.
+ * Creates a tracker for which nothing is proven.
+ *
+ * @param options Dependencies of the tracker.
+ * @returns The tracker.
  */
 export function createFreshnessTracker(
-  parts: FreshnessTrackerOptions,
+  options: FreshnessTrackerOptions,
 ): FreshnessTracker {
-  const { clock, getVersion } = parts;
-  let proven: Proven | undefined;
-  /** Proves a configuration that has yet to arrive. */
-  let ahead: Proven | undefined;
+  const { clock, getVersion } = options;
+  let proven: ProvenVersion | undefined;
+  /** Proof of a configuration that hasn't arrived yet. */
+  let pending: ProvenVersion | undefined;
   const stamps = new Map<number, Instant>();
   let lastStamp = 0;
 
@@ -98,46 +102,51 @@
     };
   }
 
-  /** Where the clocks differ, the VM was suspended or one of them jumped. */
-  function getMostMsSince({ monotonicMs, wallMs }: Instant): number {
+  /**
+   * Upper bound of the time since an instant, in ms. Where the clocks differ, the
+   * VM was suspended or the wall clock jumped.
+   */
+  function getMaxElapsedMs({ monotonicMs, wallMs }: Instant): number {
     const now = getInstant();
     return Math.max(now.monotonicMs - monotonicMs, now.wallMs - wallMs);
   }
 
-  function getLeastMsSince({ monotonicMs, wallMs }: Instant): number {
+  /** Lower bound of the time since an instant, in ms. */
+  function getMinElapsedMs({ monotonicMs, wallMs }: Instant): number {
     const now = getInstant();
-    const leastMs = Math.min(
+    const elapsedMs = Math.min(
       now.monotonicMs - monotonicMs,
       now.wallMs - wallMs,
     );
-    return Math.max(0, leastMs);
+    return Math.max(0, elapsedMs);
   }
 
-  function getAgeOf(known: Proven | undefined): number {
-    return known === undefined ? Infinity : getMostMsSince(known.asOf);
+  function computeAgeMs(version: ProvenVersion | undefined): number {
+    return version === undefined ? Infinity : getMaxElapsedMs(version.asOf);
   }
 
-  function settle(): void {
-    if (ahead === undefined || ahead.version > getVersion()) return;
-    if (getAgeOf(ahead) < getAgeOf(proven)) proven = ahead;
-    ahead = undefined;
+  /** Applies the pending proof once its configuration has arrived. */
+  function applyPending(): void {
+    if (pending === undefined || pending.version > getVersion()) return;
+    if (computeAgeMs(pending) < computeAgeMs(proven)) proven = pending;
+    pending = undefined;
   }
 
-  function take(next: Proven): boolean {
-    settle();
+  function recordProven(next: ProvenVersion): boolean {
+    applyPending();
     if (next.version > getVersion()) {
-      if (getAgeOf(next) < getAgeOf(ahead)) ahead = next;
+      if (computeAgeMs(next) < computeAgeMs(pending)) pending = next;
       return false;
     }
-    const gainMs = getAgeOf(proven) - getAgeOf(next);
+    const gainMs = computeAgeMs(proven) - computeAgeMs(next);
     if (gainMs > 0) proven = next;
-    return gainMs >= TELLING_GAIN_MS;
+    return gainMs >= MIN_RELAY_GAIN_MS;
   }
 
   return {
     getInstant,
-    recordRead: (askedAt) =>
-      void take({ version: getVersion(), asOf: askedAt }),
+    recordRead: (requestedAt) =>
+      void recordProven({ version: getVersion(), asOf: requestedAt }),
     makeStamp() {
       stamps.set(++lastStamp, getInstant());
       stamps.delete(lastStamp - MAX_STAMPS);
@@ -146,29 +155,29 @@
     recordProof({ version, ageMs, stamp, heldMs }) {
       const stampedAt = stamps.get(stamp);
       if (stampedAt === undefined) return false;
-      const shiftMs = heldMs - ageMs;
-      return take({
+      const offsetMs = heldMs - ageMs;
+      return recordProven({
         version,
         asOf: {
-          monotonicMs: stampedAt.monotonicMs + shiftMs,
-          wallMs: stampedAt.wallMs + shiftMs,
+          monotonicMs: stampedAt.monotonicMs + offsetMs,
+          wallMs: stampedAt.wallMs + offsetMs,
         },
       });
     },
     makeProof(stamp, stampedAt) {
-      settle();
+      applyPending();
       if (proven === undefined) return undefined;
-      const heldMs = getLeastMsSince(stampedAt);
-      const ageMs = getAgeOf(proven);
+      const heldMs = getMinElapsedMs(stampedAt);
+      const ageMs = computeAgeMs(proven);
       return { version: proven.version, ageMs, stamp, heldMs };
     },
     getAgeMs() {
-      settle();
-      return getAgeOf(proven);
+      applyPending();
+      return computeAgeMs(proven);
     },
     isBehind() {
-      settle();
-      return ahead !== undefined;
+      applyPending();
+      return pending !== undefined;
     },
   };
 }
--- a/src/news/freshness_monitor.ts
+++ b/src/news/freshness_monitor.ts
@@ -1,5 +1,6 @@
 /**
- * Tells in the log when keys can't be trusted any more, and when again.
+ * Logs when the configuration becomes too old to accept API keys, and when it is
+ * recent enough again.
  *
  * @module
  */
@@ -7,33 +8,37 @@
 import type { Log } from "../telemetry/log.ts";
 import type { FreshnessTracker } from "./freshness.ts";
 
-/** What a watch needs. */
+/** Dependencies of a freshness monitor. */
 export interface FreshnessMonitorOptions {
   clock: Clock;
   log: Log;
   freshness: FreshnessTracker;
-  /** Age up to which knowledge is trusted. */
+  /** Maximum age of the configuration at which API keys are accepted, in ms. */
   maxAgeMs: number;
 }
 
-/** Two lines a second at the most, however often trust is lost. */
-const CHECK_MS = 500;
+/** Limits the log to two lines a second, however often the state changes. */
+const CHECK_INTERVAL_MS = 500;
 
 /**
- * @param parts What the watch needs.
- * @returns The running watch.
+ * Starts to check the age of the configuration.
+ *
+ * @param options Dependencies of the monitor.
+ * @returns The timer; cancel it to stop the monitor.
  */
-export function startFreshnessMonitor(parts: FreshnessMonitorOptions): Timer {
-  const { clock, log, freshness: knowledge, maxAgeMs } = parts;
-  let isTrusted = false;
+export function startFreshnessMonitor(
+  options: FreshnessMonitorOptions,
+): Timer {
+  const { clock, log, freshness, maxAgeMs } = options;
+  let isFresh = false;
 
-  return clock.every(CHECK_MS, () => {
-    const ageMs = knowledge.getAgeMs();
-    const isTrustedNow = ageMs <= maxAgeMs;
-    if (isTrustedNow === isTrusted) return;
-    isTrusted = isTrustedNow;
+  return clock.every(CHECK_INTERVAL_MS, () => {
+    const ageMs = freshness.getAgeMs();
+    const isFreshNow = ageMs <= maxAgeMs;
+    if (isFreshNow === isFresh) return;
+    isFresh = isFreshNow;
     const fields = { ageMs: Math.round(ageMs), maxAgeMs };
-    if (isTrusted) log.info(fields, "knowledge proven");
-    else log.warn(fields, "knowledge too old for keys");
+    if (isFresh) log.info(fields, "configuration recent enough for API keys");
+    else log.warn(fields, "configuration too old for API keys");
   });
 }
--- a/src/news/freshness_monitor_test.ts
+++ b/src/news/freshness_monitor_test.ts
@@ -5,29 +5,29 @@
 import { createFreshnessTracker } from "./freshness.ts";
 import { startFreshnessMonitor } from "./freshness_monitor.ts";
 
-test("losing and regaining trust is told once each", () => {
+test("each change between recent and too old is logged once", () => {
   const clock = createFakeClock();
-  const told: string[] = [];
-  const write = (line: string) => void told.push(JSON.parse(line).msg);
+  const messages: string[] = [];
+  const write = (line: string) => void messages.push(JSON.parse(line).msg);
   const log = pino({}, { write });
-  const knowledge = createFreshnessTracker({ clock, getVersion: () => 1 });
-  const watch = startFreshnessMonitor({
+  const freshness = createFreshnessTracker({ clock, getVersion: () => 1 });
+  const monitor = startFreshnessMonitor({
     clock,
     log,
-    freshness: knowledge,
+    freshness,
     maxAgeMs: 1_000,
   });
   clock.advance(2_000);
-  knowledge.recordRead(knowledge.getInstant());
+  freshness.recordRead(freshness.getInstant());
   clock.advance(1_000);
   clock.advance(4_000);
-  knowledge.recordRead(knowledge.getInstant());
+  freshness.recordRead(freshness.getInstant());
   clock.advance(600);
-  watch.cancel();
-  assert.equal(told, [
-    "knowledge proven",
-    "knowledge too old for keys",
-    "knowledge proven",
+  monitor.cancel();
+  assert.equal(messages, [
+    "configuration recent enough for API keys",
+    "configuration too old for API keys",
+    "configuration recent enough for API keys",
   ]);
 });
 
--- a/src/news/reader.ts
+++ b/src/news/reader.ts
@@ -1,15 +1,15 @@
 /**
- * Reads topics from their source while this VM has the duty to, and for
- * itself whenever nobody passes current facts on.
+ * Reads a topic from its source while this VM has the duty to read for others,
+ * and for itself whenever no other VM passes current facts on.
  *
  * @module
  */
 import { type Clock, pause } from "../runtime/clock.ts";
 import { describeError } from "../runtime/errors.ts";
 import type { Log } from "../telemetry/log.ts";
+import { createEpochSettlement } from "./epoch_settlement.ts";
 import type { FactStore } from "./fact_store.ts";
 import type { Instant } from "./freshness.ts";
-import { createEpochSettlement } from "./epoch_settlement.ts";
 import type {
   FactBatch,
   FactSource,
@@ -19,20 +19,22 @@
 } from "./types.ts";
 import { type FactVersion, makeVersion } from "./version.ts";
 
-/** Times of a reader. */
+/** Timings of a reader. */
 export interface ReaderTimings {
   /**
-   * How long the source holds a call back when nothing changed. Facts count
-   * as current as of the last answer, so it is also their age on a calm day.
+   * How long the source holds a call while nothing changes, in ms. Facts count as
+   * current as of the last answer, so without changes they get this old.
    */
   waitMs: number;
-  /** Pause between two answers, so that changes come in batches. */
+  /** Pause after an answer, in ms, so that changes arrive in batches. */
   batchPauseMs: number;
-  /** First pause after a failed call; doubles up to `maxRetryMs`. */
+  /** First pause after a failed call, in ms; it doubles up to `maxRetryMs`. */
   initialRetryMs: number;
+  /** Maximum pause after a failed call, in ms. */
   maxRetryMs: number;
 }
 
+/** Timings of a reader for which no proof of freshness is needed. */
 export const DEFAULT_READER_TIMINGS: ReaderTimings = {
   waitMs: 1_000,
   batchPauseMs: 150,
@@ -41,195 +43,225 @@
 };
 
 /**
- * Where what is known has to be proven lately: a reading proves what held when
- * it was asked for, so one that waits for long is old when it ends.
+ * Timings of a reader whose facts need a recent proof: a read proves the state at
+ * the time of its request, so a long call proves an old state when it ends.
  */
 export const STRICT_READER_TIMINGS: ReaderTimings = {
   ...DEFAULT_READER_TIMINGS,
   waitMs: 500,
 };
 
-/** How often a VM that does not read checks whether it has to. */
-const IDLE_CHECK_MS = 250;
-/** Facts that one line of the log names. */
-const MAX_SHOWN_FACTS = 5;
-/** A call that found nothing is this much late before it counts as lost. */
+/** How often a VM that doesn't read checks whether it has to. */
+const IDLE_CHECK_INTERVAL_MS = 250;
+/** Maximum number of facts that one log line names. */
+const MAX_LOGGED_FACTS = 5;
+/** Time beyond `waitMs` after which a call without an answer counts as lost. */
 export const SOURCE_GRACE_MS = 700;
 
-/** What a reader needs. */
+/** Dependencies of a reader. */
 export interface ReaderOptions {
   source: FactSource;
   store: FactStore;
   clock: Clock;
   log: Log;
   timings: ReaderTimings;
-  /** Whether this VM reads for others. */
+  /** @returns Whether this VM reads for others. */
   hasReadDuty: () => boolean;
   /**
-   * @param ageMs Age of the topic's facts; infinite before the first.
-   * @returns Whether this VM has to read them for itself.
+   * @param ageMs Age of the topic's facts, in ms; infinite before the first.
+   * @returns Whether this VM has to read them itself.
    */
   needsFallbackRead: (ageMs: number) => boolean;
-  /** Told of facts that were new, to pass them on. */
-  onUpdates: (items: FactUpdate[]) => void;
-  /** Told of each answer of the source, and when it was asked for. */
-  onRead: (topic: SourceTopic, askedAt: Instant) => void;
-  /** @returns This moment. */
+  /**
+   * Called with the updates that were new, to pass them on.
+   *
+   * @param updates The updates; never empty.
+   */
+  onUpdates: (updates: FactUpdate[]) => void;
+  /**
+   * Called for each answer of the source that was applied.
+   *
+   * @param topic The topic.
+   * @param requestedAt When the answer was requested.
+   */
+  onRead: (topic: SourceTopic, requestedAt: Instant) => void;
+  /** @returns The current instant. */
   getInstant: () => Instant;
 }
 
 /** A running reader. */
 export interface Reader {
+  /** Stops the reader after the call in progress. */
   stop(): void;
 }
 
 /**
+ * Starts to read a topic.
+ *
  * @param topic The topic to read.
- * @param parts What the reader needs.
+ * @param options Dependencies of the reader.
  * @returns The running reader.
  */
-export function startReader(topic: SourceTopic, parts: ReaderOptions): Reader {
-  const { source, store: board, clock, log, timings: times } = parts;
+export function startReader(
+  topic: SourceTopic,
+  options: ReaderOptions,
+): Reader {
+  const { source, store, clock, log, timings } = options;
   let stopped = false;
   let position: FactVersion | undefined;
-  const settling = createEpochSettlement(topic, board, clock);
+  const settlement = createEpochSettlement(topic, store, clock);
   let failures = 0;
 
   async function readOnce(): Promise<void> {
-    const askedAt = parts.getInstant();
-    if (position === undefined || settling.isDue()) return await list(askedAt);
-    const result = await source.follow(topic, position.number, times.waitMs);
-    settling.recordAnswer();
+    const asOf = options.getInstant();
+    if (position === undefined || settlement.isDue()) return await list(asOf);
+    const result = await source.follow(topic, position.number, timings.waitMs);
+    settlement.recordAnswer();
     if (result.kind === "history_lost") {
-      log.info({ topic, position }, "history lost, listing anew");
+      log.info(
+        { topic, position },
+        "source no longer has the changes, listing the topic again",
+      );
       position = undefined;
       return;
     }
-    const batch = toBatch(result.batch);
-    if (batch.version.epoch !== position.epoch || isEarlier(batch)) {
+    const batch = toFactBatch(result.batch);
+    if (batch.version.epoch !== position.epoch || isOfEarlierEpoch(batch)) {
       const { epoch } = batch.version;
-      log.info({ topic, epoch, position }, "epoch changed, listing anew");
+      log.info(
+        { topic, epoch, position },
+        "epoch changed, listing the topic again",
+      );
       position = undefined;
       return;
     }
-    take(batch, board.apply(batch.items), askedAt);
+    acceptBatch(batch, store.apply(batch.items), asOf);
   }
 
-  async function list(askedAt: Instant): Promise<void> {
-    const isSettlingDue = settling.isDue();
+  async function list(asOf: Instant): Promise<void> {
+    const isSettlementDue = settlement.isDue();
     const answer = await source.list(topic);
-    const batch = toBatch(answer);
+    const batch = toFactBatch(answer);
     position = undefined;
-    if (isEarlier(batch)) {
+    if (isOfEarlierEpoch(batch)) {
       const { epoch } = batch.version;
       throw new Error(
-        `The source answers of epoch ${epoch}, known is ${
-          board.getLatestEpoch(topic)
-        }`,
+        `The source answered in epoch ${epoch}, but epoch ${
+          store.getLatestEpoch(topic)
+        } is known`,
       );
     }
-    const isSettled = isSettlingDue && settling.settlesEpoch(batch);
-    if (answer.epoch !== undefined) noteEpoch(batch.version, isSettled);
-    settling.recordAnswer();
-    const news = board.applySnapshot(topic, batch);
+    const isSettled = isSettlementDue && settlement.settlesEpoch(batch);
+    if (answer.epoch !== undefined) recordEpoch(batch.version, isSettled);
+    settlement.recordAnswer();
+    const updates = store.applySnapshot(topic, batch);
     const facts = batch.items.length;
     log.info(
-      { topic, position: batch.version, facts, news: news.length },
+      { topic, position: batch.version, facts, news: updates.length },
       "topic listed",
     );
-    take(batch, news, askedAt);
+    acceptBatch(batch, updates, asOf);
   }
 
-  /** An answer that names no epoch is one of the epoch that is known. */
-  function toBatch({ items, version, epoch }: SourceBatch): FactBatch {
-    const named = epoch ?? board.getLatestEpoch(topic);
+  /** An answer that names no epoch belongs to the latest one that is known. */
+  function toFactBatch({ items, version, epoch }: SourceBatch): FactBatch {
+    const answerEpoch = epoch ?? store.getLatestEpoch(topic);
     return {
-      version: makeVersion(version, named),
-      items: items.map((item) => ({
-        ...item,
-        version: makeVersion(item.version, named),
+      version: makeVersion(version, answerEpoch),
+      items: items.map((update) => ({
+        ...update,
+        version: makeVersion(update.version, answerEpoch),
       })),
     };
   }
 
-  /** Whether an answer came late, from before the source was restored. */
-  function isEarlier({ version }: FactBatch): boolean {
-    return version.epoch < board.getLatestEpoch(topic);
+  /** Whether a late answer comes from before the source was restored. */
+  function isOfEarlierEpoch({ version }: FactBatch): boolean {
+    return version.epoch < store.getLatestEpoch(topic);
   }
 
-  function noteEpoch({ epoch, number }: FactVersion, isSettled: boolean): void {
-    const before = board.listEpochs(topic);
-    const isNews = board.recordEpochs(topic, [{
+  function recordEpoch(
+    { epoch, number }: FactVersion,
+    isSettled: boolean,
+  ): void {
+    const before = store.listEpochs(topic);
+    const isNew = store.recordEpochs(topic, [{
       epoch,
       copiedThrough: number,
       isSettled,
     }]);
-    if (!isNews) return;
+    if (!isNew) return;
     if (isSettled) log.info({ topic, epoch }, "epoch settled");
     else log.warn({ topic, epoch, before, position: number }, "epoch began");
   }
 
-  function take(batch: FactBatch, news: FactUpdate[], askedAt: Instant): void {
+  function acceptBatch(
+    batch: FactBatch,
+    updates: FactUpdate[],
+    asOf: Instant,
+  ): void {
     position = batch.version;
-    logOlder(batch);
-    publish(news, askedAt);
+    logOlderFacts(batch);
+    publish(updates, asOf);
   }
 
-  /** Facts of the source in whose place this VM keeps another one. */
-  function logOlder({ items, version: position }: FactBatch): void {
+  /** Logs facts of the source for which this VM keeps a version of another epoch. */
+  function logOlderFacts({ items, version: position }: FactBatch): void {
     const older = items.flatMap(({ key, version }) => {
-      const known = board.get(key)?.version;
+      const known = store.get(key)?.version;
       if (known === undefined || known.epoch === version.epoch) return [];
       return known.number === version.number ? [] : [{ key, version, known }];
     });
     if (older.length === 0) return;
-    const shown = older.slice(0, MAX_SHOWN_FACTS);
+    const shown = older.slice(0, MAX_LOGGED_FACTS);
     log.warn(
       { topic, position, count: older.length, shown },
-      "source tells older facts",
+      "source returned older facts than this VM keeps",
     );
   }
 
-  function publish(items: FactUpdate[], askedAt: Instant): void {
-    board.recordComplete(topic, 0);
-    if (items.length > 0) parts.onUpdates(items);
-    parts.onRead(topic, askedAt);
+  function publish(updates: FactUpdate[], asOf: Instant): void {
+    store.recordComplete(topic, 0);
+    if (updates.length > 0) options.onUpdates(updates);
+    options.onRead(topic, asOf);
   }
 
-  function noteSuccess(): void {
+  function recordSuccess(): void {
     if (failures > 0) {
       log.info({ topic, failures }, "platform reachable again");
     }
     failures = 0;
   }
 
-  async function noteFailure(cause: unknown): Promise<void> {
+  /** Records a failed call, and pauses before the next one. */
+  async function backOff(cause: unknown): Promise<void> {
     failures++;
-    settling.recordFailure();
+    settlement.recordFailure();
     if (failures === 1) {
-      log.warn({ topic, error: describeError(cause) }, "platform lost");
+      log.warn({ topic, error: describeError(cause) }, "platform unreachable");
     }
     const factor = 2 ** Math.min(failures - 1, 10);
     await pause(
       clock,
-      Math.min(times.initialRetryMs * factor, times.maxRetryMs),
+      Math.min(timings.initialRetryMs * factor, timings.maxRetryMs),
     );
   }
 
   async function run(): Promise<void> {
     while (!stopped) {
       if (
-        !parts.hasReadDuty() && !parts.needsFallbackRead(board.getAgeMs(topic))
+        !options.hasReadDuty() &&
+        !options.needsFallbackRead(store.getAgeMs(topic))
       ) {
-        await pause(clock, IDLE_CHECK_MS);
+        await pause(clock, IDLE_CHECK_INTERVAL_MS);
         continue;
       }
       try {
         await readOnce();
-        noteSuccess();
-        await pause(clock, times.batchPauseMs);
+        recordSuccess();
+        await pause(clock, timings.batchPauseMs);
       } catch (cause) {
-        await noteFailure(cause);
+        await backOff(cause);
       }
     }
   }
--- a/src/news/reader_test.ts
+++ b/src/news/reader_test.ts
@@ -12,7 +12,7 @@
   type SourceUpdate,
 } from "./types.ts";
 
-/** Answers what a test sets next, one call after the other. */
+/** Returns the answers that a test sets, one per call. */
 class ScriptedSource extends FactSource {
   answers: (SourceBatch | "history_lost" | Error)[] = [];
   calls: string[] = [];
@@ -20,7 +20,7 @@
   override list(): Promise<SourceBatch> {
     this.calls.push("list");
     const answer = this.#next();
-    if (answer === "history_lost") throw new Error("a list is never lost");
+    if (answer === "history_lost") throw new Error("not valid for list");
     return Promise.resolve(answer);
   }
 
@@ -58,15 +58,15 @@
 
 async function play(answers: ScriptedSource["answers"]) {
   const clock = createFakeClock();
-  const board = createFactStore(clock);
+  const store = createFactStore(clock);
   const source = new ScriptedSource();
   source.answers = [...answers];
-  const told: string[] = [];
+  const messages: string[] = [];
   const reads: string[] = [];
-  const write = (line: string) => void told.push(JSON.parse(line).msg);
+  const write = (line: string) => void messages.push(JSON.parse(line).msg);
   const reader = startReader("servers", {
     source,
-    store: board,
+    store,
     clock,
     log: pino({}, { write }),
     timings: DEFAULT_READER_TIMINGS,
@@ -81,12 +81,12 @@
     clock.advance(200);
   }
   reader.stop();
-  const names = board.listTopic("servers")
+  const names = store.listTopic("servers")
     .filter(({ fact }) => fact !== undefined).map(({ key }) => key);
-  return { board, calls: source.calls, told, reads, names };
+  return { store, calls: source.calls, messages, reads, names };
 }
 
-test("a change is not skipped where numbers passed the old position", async () => {
+test("a change is not skipped where a new epoch passed the old position", async () => {
   const { calls, names } = await play([
     makeBatch(10, 1, makeItem("a", 10)),
     makeBatch(40, 2),
@@ -96,31 +96,31 @@
   assert.equal(names, ["server/a", "server/b"]);
 });
 
-test("a position that the source lost is listed anew, in its epoch", async () => {
-  const { board, calls, told } = await play([
+test("a lost position makes the reader list the topic in the new epoch", async () => {
+  const { store, calls, messages } = await play([
     makeBatch(10, 1, makeItem("a", 10)),
     "history_lost",
     makeBatch(4, 2),
     makeBatch(6, 2, makeItem("b", 6)),
   ]);
   assert.equal(calls, ["list", "follow 10", "list", "follow 4"]);
-  assert.is(board.getLatestEpoch("servers"), 2);
-  assert.ok(told.includes("epoch began"));
+  assert.is(store.getLatestEpoch("servers"), 2);
+  assert.ok(messages.includes("epoch began"));
 });
 
 test("epochs may begin at 0, or be named only after the first restore", async () => {
   for (const first of [0, undefined]) {
-    const { board, names } = await play([
+    const { store, names } = await play([
       makeBatch(10, first, makeItem("a", 3), makeItem("joined", 10)),
       "history_lost",
       makeBatch(5, 1, makeItem("a", 3)),
     ]);
     assert.equal(names, ["server/a", "server/joined"]);
-    assert.ok(board.hasUnsettledRestore("servers"));
+    assert.ok(store.hasUnsettledRestore("servers"));
   }
 });
 
-test("facts of before stay while the copy lacks them", async () => {
+test("facts that the copy lacks are kept", async () => {
   const { names } = await play([
     makeBatch(10, 1, makeItem("a", 3), makeItem("joined", 10)),
     "history_lost",
@@ -129,15 +129,15 @@
   assert.equal(names, ["server/a", "server/joined"]);
 });
 
-test("an answer of an earlier epoch that comes late changes nothing", async () => {
-  const { board, names, reads } = await play([
+test("a late answer of an earlier epoch changes nothing", async () => {
+  const { store, names, reads } = await play([
     makeBatch(10, 2, makeItem("a", 10)),
     makeBatch(90, 1, makeItem("late", 90)),
     makeBatch(90, 1, makeItem("late", 90)),
   ]);
   assert.equal(names, ["server/a"]);
   assert.equal(reads, ["list"]);
-  assert.is(board.getLatestEpoch("servers"), 2);
+  assert.is(store.getLatestEpoch("servers"), 2);
 });
 
 test("a source that names no epoch is followed by its numbers", async () => {
@@ -150,7 +150,7 @@
   assert.equal(names, ["server/a", "server/b"]);
 });
 
-test("an answer that names no epoch is one of the epoch known", async () => {
+test("an answer that names no epoch belongs to the known epoch", async () => {
   const { calls, names } = await play([
     makeBatch(10, 3, makeItem("a", 10)),
     makeBatch(12, undefined, makeItem("b", 12)),
--- a/src/news/restore_model_test.ts
+++ b/src/news/restore_model_test.ts
@@ -23,16 +23,16 @@
 } from "./types.ts";
 
 const STEP_MS = 50;
-const PLAY_MS = 40_000;
-/** Longer than an operator may leave an older configuration. */
+const ACTIVE_MS = 40_000;
+/** Longer than an older configuration takes to be accepted as intended (60 s). */
 const QUIET_MS = 75_000;
 const SERVERS = 6;
 const VMS = 5;
 const READERS = 2;
 const MAX_CALL_MS = 400;
-const LATE_PART = 0.2;
-/** Part of the messages between VMs that are lost. */
-const LOST_PART = 0.1;
+const LATE_SHARE = 0.2;
+/** Share of the messages between VMs that are lost. */
+const LOST_SHARE = 0.1;
 const log = createSilentLog();
 
 interface StoredRow {
@@ -42,14 +42,14 @@
 }
 
 /**
- * A source that goes back to a copy. Some of its answers come late, also from
- * before it went back.
+ * A source that is restored from a copy. Some of its answers come late, even from
+ * before a restore.
  */
 class RestoredSource extends FactSource {
   rows = new Map<string, StoredRow>();
   counter = 0;
   epoch = 1;
-  isAway = false;
+  isDown = false;
   readonly #clock: FakeClock;
   readonly #random: Random;
 
@@ -73,11 +73,11 @@
     topic: SourceTopic,
     after: number,
   ): Promise<FollowResult> {
-    if (!this.isAway && after > this.counter) return { kind: "history_lost" };
+    if (!this.isDown && after > this.counter) return { kind: "history_lost" };
     const isChange = ({ version }: StoredRow) => version > after;
     const early = this.#answer(topic, isChange);
     await this.#passTime();
-    const isLate = this.#random() < LATE_PART;
+    const isLate = this.#random() < LATE_SHARE;
     const batch = isLate ? early : this.#answer(topic, isChange);
     return { kind: "changes", batch };
   }
@@ -90,7 +90,7 @@
     topic: SourceTopic,
     isAsked: (row: StoredRow) => boolean,
   ): SourceBatch {
-    if (this.isAway) throw new Error("away");
+    if (this.isDown) throw new Error("source is down");
     const items = [...this.rows].filter(([, row]) =>
       row.topic === topic && isAsked(row)
     ).map(([key, { version, fact }]) => ({ topic, key, version, fact }));
@@ -98,7 +98,7 @@
   }
 }
 
-/** The operator and the servers, who know what they wrote last. */
+/** The operator and the servers, which know what they wrote last. */
 function createWriters(source: RestoredSource, random: Random) {
   let configuration = 0;
   const states = Array.from({ length: SERVERS }, () => ({
@@ -136,8 +136,8 @@
     putServer(index);
   }
 
-  /** What a restored source lacks; starts that ended expire. */
-  function writeAgain(): void {
+  /** Writes what a restored source may lack; ended server starts expire. */
+  function rewriteAll(): void {
     putConfiguration();
     states.forEach((state, index) => {
       putServer(index);
@@ -148,8 +148,8 @@
   }
 
   configuration = 1;
-  writeAgain();
-  return { change, writeAgain };
+  rewriteAll();
+  return { change, rewriteAll };
 }
 
 interface Message {
@@ -157,52 +157,56 @@
   deliver: () => void;
 }
 
-/** VMs of which some read, and that tell each other what is new. */
+/** VMs of which some read, and that send each other updates. */
 function startVms(source: RestoredSource, clock: FakeClock, random: Random) {
-  const boards: FactStore[] = [];
+  const stores: FactStore[] = [];
   const messages: Message[] = [];
 
-  function send(deliver: () => void): void {
-    if (random() < LOST_PART) return;
+  function deliverLater(deliver: () => void): void {
+    if (random() < LOST_SHARE) return;
     const atMs = clock.monotonicMs() + 40 + random() * 100;
     messages.push({ atMs, deliver });
   }
 
-  function tell(from: FactStore, to: FactStore, items: FactUpdate[]): void {
+  function sendUpdates(
+    from: FactStore,
+    to: FactStore,
+    updates: FactUpdate[],
+  ): void {
     const epochs = SOURCE_TOPICS.map((topic) => from.listEpochs(topic));
-    send(() => {
+    deliverLater(() => {
       SOURCE_TOPICS.forEach((topic, at) => to.recordEpochs(topic, epochs[at]));
-      to.apply(items);
+      to.apply(updates);
     });
   }
 
-  function tellWhole(from: FactStore, to: FactStore, topic: SourceTopic): void {
-    const items = from.listTopic(topic);
+  function sendTopic(from: FactStore, to: FactStore, topic: SourceTopic): void {
+    const updates = from.listTopic(topic);
     const isComplete = from.isComplete(topic);
     const epochs = from.listEpochs(topic);
-    send(() => {
+    deliverLater(() => {
       to.recordEpochs(topic, epochs);
-      if (isComplete) to.applyPeerSnapshot(topic, items);
-      else to.apply(items);
+      if (isComplete) to.applyPeerSnapshot(topic, updates);
+      else to.apply(updates);
     });
   }
 
   function add(reads: boolean): FactStore {
-    const board = createFactStore(clock);
-    boards.push(board);
-    const repair = createFactRepair({ board, clock, log });
+    const store = createFactStore(clock);
+    stores.push(store);
+    const repair = createFactRepair({ board: store, clock, log });
     const peers = new Map<FactStore, FactPeer>();
     const getPeer = (other: FactStore): FactPeer => {
       const known = peers.get(other) ?? {
         peer: "",
-        ask: (topic) => tellWhole(other, board, topic as SourceTopic),
+        ask: (topic) => sendTopic(other, store, topic as SourceTopic),
       };
       peers.set(other, known);
       return known;
     };
     clock.every(800, () => {
-      for (const other of boards) {
-        if (other === board) continue;
+      for (const other of stores) {
+        if (other === store) continue;
         for (const topic of SOURCE_TOPICS) {
           repair.compare(getPeer(other), topic, other.getDigest(topic));
         }
@@ -211,26 +215,26 @@
     for (const topic of reads ? SOURCE_TOPICS : []) {
       startReader(topic, {
         source,
-        store: board,
+        store,
         clock,
         log,
         timings: DEFAULT_READER_TIMINGS,
         hasReadDuty: () => true,
         needsFallbackRead: () => false,
-        onUpdates: (items) => {
-          for (const other of boards) {
-            if (other !== board) tell(board, other, items);
+        onUpdates: (updates) => {
+          for (const other of stores) {
+            if (other !== store) sendUpdates(store, other, updates);
           }
         },
         onRead: () => {},
         getInstant: () => ({ monotonicMs: 0, wallMs: 0 }),
       });
     }
-    return board;
+    return store;
   }
 
   return {
-    boards,
+    stores,
     add,
     deliver() {
       const nowMs = clock.monotonicMs();
@@ -241,26 +245,26 @@
   };
 }
 
-function getConfigurationNumber(board: FactStore): number {
-  const fact = board.get(CONFIGURATION_KEY)?.fact;
+function getConfigurationNumber(store: FactStore): number {
+  const fact = store.get(CONFIGURATION_KEY)?.fact;
   return fact?.kind === "configuration" ? fact.configuration.version : 0;
 }
 
-function listStates(board: FactStore): string[] {
-  return board.listTopic("servers").flatMap(({ fact }) =>
+function listStates(store: FactStore): string[] {
+  return store.listTopic("servers").flatMap(({ fact }) =>
     fact?.kind === "server" ? [`${fact.server.id} ${fact.server.state}`] : []
   ).sort();
 }
 
-/** Fails where a VM goes back to what it knew before. */
-function createWatch(board: FactStore) {
+/** Fails if a VM reverts to an older configuration or server state. */
+function createRegressionCheck(store: FactStore) {
   let configuration = 0;
   const draining = new Set<string>();
   return () => {
-    const now = getConfigurationNumber(board);
+    const now = getConfigurationNumber(store);
     assert.ok(now >= configuration, `configuration ${now} < ${configuration}`);
     configuration = now;
-    for (const state of listStates(board)) {
+    for (const state of listStates(store)) {
       const [id, name] = state.split(" ");
       if (name === "draining") draining.add(id);
       else assert.not(draining.has(id), `${id} is ready again`);
@@ -274,60 +278,60 @@
   const source = new RestoredSource(clock, random);
   const writers = createWriters(source, random);
   const fleet = startVms(source, clock, random);
-  const watches = Array.from(
+  const checks = Array.from(
     { length: VMS },
-    (_, index) => createWatch(fleet.add(index < READERS)),
+    (_, index) => createRegressionCheck(fleet.add(index < READERS)),
   );
   let copy = { rows: new Map(source.rows), counter: source.counter };
-  let awayUntilMs = Infinity;
-  let writesAtMs = Infinity;
+  let downUntilMs = Infinity;
+  let rewriteAtMs = Infinity;
   const startMs = clock.monotonicMs();
 
   async function step(isQuiet: boolean): Promise<void> {
     clock.advance(STEP_MS);
     const nowMs = clock.monotonicMs();
-    if (!isQuiet && !source.isAway) {
+    if (!isQuiet && !source.isDown) {
       if (random() < 0.1) writers.change();
       if (random() < 0.02) {
         copy = { rows: new Map(source.rows), counter: source.counter };
       }
       if (random() < 0.008) {
-        source.isAway = true;
-        awayUntilMs = nowMs + 300 + random() * 2_200;
+        source.isDown = true;
+        downUntilMs = nowMs + 300 + random() * 2_200;
       }
-      if (random() < 0.002) watches.push(createWatch(fleet.add(true)));
+      if (random() < 0.002) checks.push(createRegressionCheck(fleet.add(true)));
     }
-    if (nowMs >= awayUntilMs) {
-      awayUntilMs = Infinity;
-      source.isAway = false;
+    if (nowMs >= downUntilMs) {
+      downUntilMs = Infinity;
+      source.isDown = false;
       source.rows = new Map(copy.rows);
       source.counter = copy.counter;
       source.epoch += random() < 0.2 ? 2 : 1;
-      writesAtMs = nowMs + random() * 1_500;
+      rewriteAtMs = nowMs + random() * 1_500;
     }
-    if (nowMs >= writesAtMs && !source.isAway) {
-      writesAtMs = Infinity;
-      writers.writeAgain();
+    if (nowMs >= rewriteAtMs && !source.isDown) {
+      rewriteAtMs = Infinity;
+      writers.rewriteAll();
     }
     fleet.deliver();
     for (let turn = 0; turn < 12; turn++) await Promise.resolve();
-    for (const watch of watches) watch();
+    for (const check of checks) check();
   }
 
-  while (clock.monotonicMs() < startMs + PLAY_MS) await step(false);
-  while (clock.monotonicMs() < startMs + PLAY_MS + QUIET_MS) await step(true);
+  while (clock.monotonicMs() < startMs + ACTIVE_MS) await step(false);
+  while (clock.monotonicMs() < startMs + ACTIVE_MS + QUIET_MS) await step(true);
   const live = [...source.rows.values()].flatMap(({ fact }) =>
     fact?.kind === "server" ? [`${fact.server.id} ${fact.server.state}`] : []
   ).sort();
   const stored = source.rows.get(CONFIGURATION_KEY)!.fact;
-  for (const board of fleet.boards) {
-    assert.equal(listStates(board), live);
-    assert.equal(board.get(CONFIGURATION_KEY)?.fact, stored);
+  for (const store of fleet.stores) {
+    assert.equal(listStates(store), live);
+    assert.equal(store.get(CONFIGURATION_KEY)?.fact, stored);
   }
 }
 
 for (const seed of [1, 2, 3, 4, 208, 209, 290, 301]) {
-  test(`restores in series: no VM goes back, all agree, seed ${seed}`, () =>
+  test(`repeated restores: no VM reverts a fact, all VMs agree, seed ${seed}`, () =>
     play(seed));
 }
 
--- a/src/news/schema.ts
+++ b/src/news/schema.ts
@@ -1,21 +1,21 @@
 /**
- * Checks of facts: of those that other VMs pass on, and of those that the
- * platform's formats are decoded into.
+ * Schemas of facts that other VMs send, and of facts decoded from the platform's
+ * formats.
  *
  * @module
  */
 import * as z from "zod";
 
-const MAX_NAME = 200;
-const MAX_FINGERPRINT = 64;
-const name = z.string().min(1).max(MAX_NAME);
-const fingerprint = z.string().min(1).max(MAX_FINGERPRINT);
+const MAX_NAME_CHARS = 200;
+const MAX_FINGERPRINT_CHARS = 64;
+const name = z.string().min(1).max(MAX_NAME_CHARS);
+const fingerprint = z.string().min(1).max(MAX_FINGERPRINT_CHARS);
 const round = z.number().int().nonnegative();
 
 const routeSchema = z.object({
-  name: z.string().max(MAX_NAME),
+  name: z.string().max(MAX_NAME_CHARS),
   host: name,
-  prefix: z.string().regex(/^\/(.*\/)?$/, "begins and ends with a slash"),
+  prefix: z.string().regex(/^\/(.*\/)?$/, "must begin and end with a slash"),
   kind: z.enum(["idempotent", "non_idempotent"]),
   timeoutMs: z.number().positive(),
   targetLatencyMs: z.number().positive(),
@@ -25,7 +25,7 @@
   maxAttempts: z.number().int().positive(),
   isSticky: z.boolean(),
   homeRegions: z.array(name),
-  /** Absent in facts of VMs that are older. */
+  /** Absent in facts that VMs of earlier versions send. */
   isPublic: z.boolean().default(false),
 });
 
@@ -38,7 +38,7 @@
   homeRegions: z.array(name),
 });
 
-/** Checks a configuration. */
+/** Schema of a configuration. */
 export const configurationSchema = z.object({
   version: z.number().int().nonnegative(),
   routes: z.array(routeSchema),
@@ -57,24 +57,24 @@
   accounts: z.array(accountSchema).optional(),
 });
 
-/** Checks a listed backend server. */
+/** Schema of a listed backend server. */
 export const listedServerSchema = z.object({
   id: name,
   registeredName: name,
   service: name,
-  address: z.string().regex(/^[\w.-]+:\d{1,5}$/, "host:port"),
+  address: z.string().regex(/^[\w.-]+:\d{1,5}$/, "must be host:port"),
   failureDomain: name,
   slots: z.number().int().positive(),
   state: z.enum(["ready", "draining"]),
   coldLeftMs: z.number().nonnegative(),
 });
 
-/** Checks one fact as VMs tell it. */
+/** Schema of one fact update in a message between VMs. */
 export const factUpdateSchema = z.object({
   topic: z.enum(["operations", "servers", "suspects"]),
-  key: z.string().max(2 * MAX_NAME),
+  key: z.string().max(2 * MAX_NAME_CHARS),
   version: z.number().nonnegative(),
-  /** Absent in facts of VMs that are older. */
+  /** Absent in facts that VMs of earlier versions send. */
   epoch: z.number().int().nonnegative().optional(),
   fact: z.discriminatedUnion("kind", [
     z.object({
--- a/src/news/types.ts
+++ b/src/news/types.ts
@@ -1,8 +1,8 @@
 /**
- * Facts that every VM has to know, and where they come from.
+ * Facts that every VM has to know, and the interface of their source.
  *
- * A fact has a key and a version that rises with each change, so facts may
- * arrive late, twice and from several sides: the newest version holds.
+ * A fact has a key and a version that increases with each change. Updates may
+ * arrive late, twice and from several VMs: the newest version wins.
  *
  * @module
  */
@@ -10,43 +10,43 @@
 import type { ListedServer } from "../servers/types.ts";
 import type { EpochStart, FactVersion } from "./version.ts";
 
-/** Streams of facts that are read from their source. */
+/** Topics of facts that are read from a source. */
 export type SourceTopic = "operations" | "servers";
 
-/** All streams; `suspects` comes from the VMs themselves. */
+/** All topics; facts of `suspects` come from the VMs themselves. */
 export type Topic = SourceTopic | "suspects";
 
-/** Topics that are read, in that order. */
+/** Topics that are read from a source, in the order of reading. */
 export const SOURCE_TOPICS: readonly SourceTopic[] = ["operations", "servers"];
 
 /** All topics. */
 export const TOPICS: readonly Topic[] = [...SOURCE_TOPICS, "suspects"];
 
-/** What is known under a key. */
+/** The content of a fact. */
 export type Fact =
   | { kind: "configuration"; configuration: Configuration }
   | { kind: "evacuation"; failureDomain: string }
   | { kind: "server"; server: ListedServer }
-  /** A backend server ended while it had a request. */
+  /** A backend server crashed while it was handling a request. */
   | {
     kind: "server_end";
-    /** The same for each repeat of the request. */
+    /** Fingerprint of the request; the same for each repeat of it. */
     request: string;
-    /** Answers to the request so far, as far as they were told. */
+    /** Number of answers to the request that were reported so far. */
     round: number;
     server: string;
-    /** Who saw it. */
+    /** VM that observed the crash. */
     vm: string;
-    /** When, in ms since the epoch by that VM's clock, which may be off. */
+    /** Unix time in ms by that VM's clock, which may be wrong. */
     seenAtMs: number;
   }
-  /** A request was answered, which begins a round. */
+  /** A request was answered, which begins a new round. */
   | { kind: "request_answered"; request: string; round: number };
 
-/** Key of the configuration. */
+/** Key of the fact that holds the configuration. */
 export const CONFIGURATION_KEY = "configuration";
 
-/** One fact, or the news that it no longer holds. */
+/** A new version of a fact, or its removal. */
 export interface FactUpdate {
   topic: Topic;
   key: string;
@@ -55,68 +55,71 @@
   fact?: Fact;
 }
 
-/** Facts as of one position of a topic. */
+/** Updates up to one position of a topic. */
 export interface FactBatch {
   items: FactUpdate[];
-  /** Position in the topic that the items reach. */
+  /** Position in the topic up to which the batch reaches. */
   version: FactVersion;
 }
 
-/** News as a source numbers them; their epoch is that of the answer. */
+/** An update as a source numbers it; its epoch is that of the answer. */
 export type SourceUpdate = Omit<FactUpdate, "version"> & { version: number };
 
-/** What a source answers. */
+/** Updates in an answer of a source. */
 export interface SourceBatch {
   items: SourceUpdate[];
-  /** Position in the topic that the items reach. */
+  /** Position in the topic up to which the batch reaches. */
   version: number;
   /** Absent where the source names none. */
   epoch?: number;
 }
 
 /**
- * Tells boards that know different facts of a topic apart, but for rare
- * coincidences.
+ * Digest of the facts of a topic in one store. Stores with different facts have
+ * different digests, except for rare collisions.
  */
 export interface TopicDigest {
   /** Number of facts. */
   facts: number;
-  /** Sum of the numbers of their versions. */
+  /** Sum of the numbers of the facts' versions. */
   versionSum: number;
-  /** Sum of the epochs in which they were written; absent where it is 0. */
+  /**
+   * Sum of the epochs in which the facts were written; absent where the source
+   * named no epoch.
+   */
   epochSum?: number;
-  /** Epochs of the topic's source; absent where it named none. */
+  /** Epoch starts of the topic's source; absent where it named none. */
   epochs?: EpochStart[];
 }
 
 /**
- * @param a A digest.
- * @param b Another.
- * @returns Whether their boards know the same facts of the topic.
+ * @param a Digest of one store.
+ * @param b Digest of another store.
+ * @returns Whether the stores have the same facts of the topic.
  */
 export function isSameDigest(a: TopicDigest, b: TopicDigest): boolean {
   return a.facts === b.facts && a.versionSum === b.versionSum &&
     (a.epochSum ?? 0) === (b.epochSum ?? 0);
 }
 
-/** What following a topic brought. */
+/** Result of following a topic. */
 export type FollowResult =
   | { kind: "changes"; batch: SourceBatch }
-  /** The source no longer knows what changed since; list the topic anew. */
+  /** The source no longer has the changes; list the topic again. */
   | { kind: "history_lost" };
 
-/** Where facts are kept for good. Calls throw StepError on failure. */
+/** Persistent store of facts. Calls throw StepError on failure. */
 export abstract class FactSource {
   /**
    * @param topic The topic.
-   * @returns All its facts, as of one moment.
+   * @returns All its facts, as of one version.
    */
   abstract list(topic: SourceTopic): Promise<SourceBatch>;
   /**
    * @param topic The topic.
    * @param afterVersion Position up to which changes are known.
-   * @param waitMs How long to wait for a change.
-   * @returns The changes after that position; none where none came in time.
+   * @param waitMs Maximum time to wait for a change, in ms.
+   * @returns The changes after that position; empty if none came in time.
    */
   abstract follow(
     topic: SourceTopic,
--- a/src/news/version.ts
+++ b/src/news/version.ts
@@ -1,12 +1,13 @@
 /**
- * Where a fact stands in the history of its source.
+ * Versions of facts and epochs of their sources.
  *
  * @module
  */
 
 /**
- * Numbers rise with each change, but only within an epoch: a source that is
- * restored from a copy begins an epoch, in which it gives out numbers again.
+ * Position of a fact in the history of its source. Numbers increase with each
+ * change, but only within an epoch: a source that is restored from a copy begins
+ * a new epoch, in which it assigns numbers again.
  */
 export interface FactVersion {
   /** 0 where the source names none. */
@@ -14,17 +15,17 @@
   number: number;
 }
 
-/** Begin of an epoch of a source. */
+/** Start of an epoch of a source. */
 export interface EpochStart {
   epoch: number;
   /**
-   * Facts of the epoch up to this number may stem from the copy, and be older
+   * Facts of the epoch up to this number may come from the copy, and be older
    * than facts of the epoch before.
    */
   copiedThrough: number;
   /**
-   * Set once all that was lost has been written again: what the source lists
-   * from then on holds.
+   * Set once all lost facts have been written again: from then on the source's
+   * listing is authoritative.
    */
   isSettled?: boolean;
 }
--- a/src/news/wire_format.ts
+++ b/src/news/wire_format.ts
@@ -1,5 +1,5 @@
 /**
- * Facts as VMs tell them to each other.
+ * Encodes facts for messages between VMs.
  *
  * @module
  */
@@ -8,32 +8,33 @@
 import type { FactUpdate, Topic } from "./types.ts";
 import { makeVersion } from "./version.ts";
 
-/** A fact in a message. */
+/** A fact update in a message. */
 export type WireUpdate = z.infer<typeof factUpdateSchema>;
 
 /**
- * @param items Facts.
- * @returns The same for a message.
+ * @param updates Fact updates.
+ * @returns The updates as a message carries them.
  */
-export function encodeUpdates(items: readonly FactUpdate[]): WireUpdate[] {
-  return items.map(({ version, ...item }) => ({
-    ...item,
+export function encodeUpdates(updates: readonly FactUpdate[]): WireUpdate[] {
+  return updates.map(({ version, ...update }) => ({
+    ...update,
     version: version.number,
     epoch: version.epoch,
   }));
 }
 
 /**
- * @param items Facts of a message.
- * @param getEpoch Latest epoch of a topic; VMs that name none mean that one.
- * @returns The same for the board.
+ * @param updates Fact updates of a message.
+ * @param getLatestEpoch Latest epoch of a topic, for updates of VMs that name no
+ *   epoch.
+ * @returns The updates as the fact store takes them.
  */
 export function decodeUpdates(
-  items: readonly WireUpdate[],
-  getEpoch: (topic: Topic) => number,
+  updates: readonly WireUpdate[],
+  getLatestEpoch: (topic: Topic) => number,
 ): FactUpdate[] {
-  return items.map(({ version, epoch, ...item }) => ({
-    ...item,
-    version: makeVersion(version, epoch ?? getEpoch(item.topic)),
+  return updates.map(({ version, epoch, ...update }) => ({
+    ...update,
+    version: makeVersion(version, epoch ?? getLatestEpoch(update.topic)),
   }));
 }
--- a/src/news/wire_format_test.ts
+++ b/src/news/wire_format_test.ts
@@ -4,18 +4,20 @@
 import { factUpdateSchema } from "./schema.ts";
 import { decodeUpdates, encodeUpdates } from "./wire_format.ts";
 
-test("facts keep their epoch on the way to another VM", () => {
-  const items = [makeServerNews(makeServer("1"), 7, 3)];
-  const told = encodeUpdates(items).map((item) => factUpdateSchema.parse(item));
-  assert.equal(decodeUpdates(told, () => 9), items);
+test("facts keep their epoch in a message", () => {
+  const updates = [makeServerNews(makeServer("1"), 7, 3)];
+  const received = encodeUpdates(updates).map((update) =>
+    factUpdateSchema.parse(update)
+  );
+  assert.equal(decodeUpdates(received, () => 9), updates);
 });
 
-test("facts of VMs that name no epoch are of the latest one", () => {
-  const [{ epoch: _, ...item }] = encodeUpdates([
+test("facts in a message without an epoch belong to the latest one", () => {
+  const [{ epoch: _, ...update }] = encodeUpdates([
     makeServerNews(makeServer("1"), 7),
   ]);
-  const [unpacked] = decodeUpdates([factUpdateSchema.parse(item)], () => 4);
-  assert.equal(unpacked.version, { epoch: 4, number: 7 });
+  const [decoded] = decodeUpdates([factUpdateSchema.parse(update)], () => 4);
+  assert.equal(decoded.version, { epoch: 4, number: 7 });
 });
 
 test.run();
