--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import type { Server } from "node:http";
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import {
-  type NewsItem,
+  type FactUpdate,
   type SourceTopic,
   type Topic,
   TOPICS,
 } from "../news/types.ts";
-import type { Knowledge } from "../news/knowledge.ts";
+import type { FreshnessTracker } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
@@ -43,8 +43,8 @@
 export interface MeshOptions extends PayloadListeners {
   self: VmIdentity;
   table: MemberTable;
-  factStore: NewsBoard;
-  knowledge: Knowledge;
+  factStore: FactStore;
+  knowledge: FreshnessTracker;
   /** @returns Whether anything depends on the age of the knowledge. */
   needsProofs: () => boolean;
   registry: VmRegistry;
@@ -73,7 +73,7 @@
    *
    * @param items The facts.
    */
-  broadcastFacts(items: NewsItem[]): void;
+  broadcastFacts(items: FactUpdate[]): void;
   /**
    * Sends rate limits of backend servers to all linked VMs.
    *
@@ -274,7 +274,7 @@
     { topic, digest, isOwn }: Extract<VmMessage, { kind: "read" }>,
   ): void {
     if (repair.compare(state.facts, topic, digest)) return;
-    factStore.noteCurrent(topic, 0);
+    factStore.recordComplete(topic, 0);
     // Forwarded only once: sent back and forth, it would keep the topic current
     // forever.
     if (isOwn && !dialer.getTopology().isFullMesh && dialer.actsAsHub()) {
@@ -338,7 +338,7 @@
     ...options,
     listAfterMs,
     countKnown: () => table.countKnown(),
-    getEpoch: () => factStore.getEpoch("operations"),
+    getEpoch: () => factStore.getLatestEpoch("operations"),
     shouldList: mayMissVms,
     isAlone: links.isEmpty,
     onListed: (members) => {
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -7,14 +7,14 @@
 import type { Activity, ActivityScope } from "../activity/types.ts";
 import { unpackUsage } from "../limits/usage_form.ts";
 import type { UsageNews } from "../limits/usage_sharing.ts";
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import {
   CONFIGURATION_KEY,
-  type NewsItem,
+  type FactUpdate,
   SOURCE_TOPICS,
   type Topic,
 } from "../news/types.ts";
-import { packNews, unpackNews } from "../news/wire_form.ts";
+import { decodeUpdates, encodeUpdates } from "../news/wire_format.ts";
 import type { RateLimitNews } from "../servers/rate_limits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
@@ -72,14 +72,14 @@
  * @returns The message, with the epochs that the facts refer to.
  */
 export function makeFactMessage(
-  factStore: NewsBoard,
-  items: readonly NewsItem[],
+  factStore: FactStore,
+  items: readonly FactUpdate[],
 ): FactMessage {
   const epochs = {
     operations: factStore.listEpochs("operations"),
     servers: factStore.listEpochs("servers"),
   };
-  return { kind: "news", items: packNews(items), epochs };
+  return { kind: "news", items: encodeUpdates(items), epochs };
 }
 
 /**
@@ -91,7 +91,7 @@
  *   so that the receiver can drop facts that a restore lost.
  */
 export function makeTopicMessage(
-  factStore: NewsBoard,
+  factStore: FactStore,
   topic: Topic,
 ): FactMessage {
   const message = makeFactMessage(factStore, factStore.listTopic(topic));
@@ -101,7 +101,7 @@
 
 /** Dependencies of the payload receiver. */
 export interface PayloadOptions extends PayloadListeners {
-  factStore: NewsBoard;
+  factStore: FactStore;
   links: LinkSet;
   log: Log;
   /** @returns Whether this VM forwards facts between other VMs. */
@@ -140,18 +140,21 @@
     { items, epochs, whole }: FactMessage,
   ): void {
     for (const topic of SOURCE_TOPICS) {
-      factStore.noteEpochs(topic, epochs?.[topic] ?? []);
+      factStore.recordEpochs(topic, epochs?.[topic] ?? []);
     }
-    const received = unpackNews(items, factStore.getEpoch);
+    const received = decodeUpdates(items, factStore.getLatestEpoch);
     const updates = whole === undefined
       ? factStore.apply(received)
-      : factStore.applySettled(whole, received);
+      : factStore.applyPeerSnapshot(whole, received);
     if (updates.length === 0) return;
     logConfiguration(link, updates);
     forward(link, makeFactMessage(factStore, updates));
   }
 
-  function logConfiguration(link: VmLink, updates: readonly NewsItem[]): void {
+  function logConfiguration(
+    link: VmLink,
+    updates: readonly FactUpdate[],
+  ): void {
     const update = updates.find(({ key }) => key === CONFIGURATION_KEY);
     if (update === undefined) return;
     const from = links.get(link)?.identity?.id ?? link.peer;
--- a/src/members/proofs.ts
+++ b/src/members/proofs.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { Instant, Knowledge, Proof } from "../news/knowledge.ts";
+import type { FreshnessTracker, Instant, Proof } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 
@@ -26,7 +26,7 @@
 export interface ProofSenderOptions {
   clock: Clock;
   links: LinkSet;
-  knowledge: Knowledge;
+  knowledge: FreshnessTracker;
   /** @returns Whether anything depends on the age of the knowledge. */
   isNeeded: () => boolean;
   /** @returns Whether this VM forwards proofs. */
@@ -129,7 +129,7 @@
     receiveProof(link, { configuration, ageMs, stamp, heldMs }) {
       if (configuration === undefined) return;
       const proof = { version: configuration, ageMs, stamp, heldMs };
-      const isNewer = knowledge.noteProof(proof);
+      const isNewer = knowledge.recordProof(proof);
       if (isNewer && options.isRelay()) sendProofs(link);
     },
     sendProofs,
--- a/src/members/repair.ts
+++ b/src/members/repair.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { NewsBoard } from "../news/board.ts";
+import type { FactStore } from "../news/fact_store.ts";
 import { isSameDigest, type Topic, type TopicDigest } from "../news/types.ts";
 import type { EpochStart } from "../news/version.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -40,7 +40,7 @@
 
 /** Dependencies of the fact repair. */
 export interface FactRepairOptions {
-  factStore: NewsBoard;
+  factStore: FactStore;
   clock: Clock;
   log: Log;
 }
@@ -100,7 +100,7 @@
         digest,
         factStore.listEpochs(topic),
       );
-      factStore.noteEpochs(topic, digest.epochs ?? []);
+      factStore.recordEpochs(topic, digest.epochs ?? []);
       const own = factStore.getDigest(topic);
       const since = getSince(other);
       if (isSameDigest(own, digest)) {
--- a/src/members/repair_test.ts
+++ b/src/members/repair_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { makeServer, makeServerNews } from "../gateway/fixture.ts";
-import { createNewsBoard } from "../news/board.ts";
+import { createFactStore } from "../news/fact_store.ts";
 import type { Topic } from "../news/types.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
@@ -11,7 +11,7 @@
 
 function startRepair() {
   const clock = createFakeClock();
-  const factStore = createNewsBoard(clock);
+  const factStore = createFactStore(clock);
   const repair = createFactRepair({
     factStore,
     clock,
@@ -67,7 +67,7 @@
 
 test("a VM started after a restore requests facts from one that ran before", () => {
   const { factStore, repair, asked, peer } = startRepair();
-  factStore.noteEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
+  factStore.recordEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
   factStore.apply([makeServerNews(makeServer("1"), 40, 2)]);
   const epochs = [
     { epoch: 1, copiedThrough: 0, isSettled: true },
--- a/src/quarantine/poison_request_test.ts
+++ b/src/quarantine/poison_request_test.ts
@@ -7,8 +7,8 @@
  */
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { createNewsBoard } from "../news/board.ts";
-import type { NewsItem } from "../news/types.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import type { FactUpdate } from "../news/types.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { hashToUnit, rankByRendezvous } from "../runtime/hash.ts";
 import { createRandom, type Random } from "../runtime/random.ts";
@@ -59,14 +59,14 @@
   clock: FakeClock,
   maxServerCrashes: number,
 ): SuspectTracker[] {
-  const stores = Array.from({ length: VMS }, () => createNewsBoard(clock));
+  const stores = Array.from({ length: VMS }, () => createFactStore(clock));
   return stores.map((store, index) => {
     const tracker = createSuspectTracker({
       clock,
       log: createSilentLog(),
       ownId: `vm-${index}`,
       quarantineSettings: { maxServerCrashes },
-      publish(updates: NewsItem[]) {
+      publish(updates: FactUpdate[]) {
         const applied = store.apply(updates);
         clock.after(
           PROPAGATION_MS,
--- a/src/quarantine/suspect_facts.ts
+++ b/src/quarantine/suspect_facts.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Fact, NewsItem } from "../news/types.ts";
+import type { Fact, FactUpdate } from "../news/types.ts";
 import { makeVersion } from "../news/version.ts";
 
 type CrashFact = Omit<Extract<Fact, { kind: "server_end" }>, "kind">;
@@ -16,7 +16,7 @@
  * @param crash The request, its round, and the server that crashed under it.
  * @returns The update that publishes the crash.
  */
-export function makeCrashUpdate(crash: CrashFact): NewsItem {
+export function makeCrashUpdate(crash: CrashFact): FactUpdate {
   return {
     topic: "suspects",
     key: makeCrashKey(crash.request, crash.round, crash.server),
@@ -30,7 +30,7 @@
  * @param round The round that the answer starts.
  * @returns The update that publishes the answer; the latest round wins.
  */
-export function makeAnswerUpdate(request: string, round: number): NewsItem {
+export function makeAnswerUpdate(request: string, round: number): FactUpdate {
   return {
     topic: "suspects",
     key: makeAnswerKey(request),
@@ -49,7 +49,7 @@
   request: string,
   round: number,
   server: string,
-): NewsItem {
+): FactUpdate {
   const key = makeCrashKey(request, round, server);
   return {
     topic: "suspects",
@@ -64,7 +64,7 @@
  * @returns The update that removes the fact of an answer, unless a later round
  *   has replaced it.
  */
-export function makeAnswerRemoval(request: string, round: number): NewsItem {
+export function makeAnswerRemoval(request: string, round: number): FactUpdate {
   const version = makeVersion(2 * round + 1);
   return { topic: "suspects", key: makeAnswerKey(request), version };
 }
--- a/src/quarantine/suspect_tracker.ts
+++ b/src/quarantine/suspect_tracker.ts
@@ -16,7 +16,7 @@
  *
  * @module
  */
-import type { Fact, NewsItem } from "../news/types.ts";
+import type { Fact, FactUpdate } from "../news/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { hashToUnit } from "../runtime/hash.ts";
 import type { Log } from "../telemetry/log.ts";
@@ -41,9 +41,9 @@
   ownId: string;
   quarantineSettings: QuarantineSettings;
   /** Publishes facts to this VM and all others. */
-  publish: (updates: NewsItem[]) => void;
+  publish: (updates: FactUpdate[]) => void;
   /** Removes facts on this VM only; each VM removes its own. */
-  forget: (updates: NewsItem[]) => void;
+  forget: (updates: FactUpdate[]) => void;
 }
 
 /** Assesses requests by the servers that crashed under them. */
@@ -74,7 +74,7 @@
    */
   recordAnswer(request: string): void;
   /** Applies a changed fact. */
-  apply(update: NewsItem): void;
+  apply(update: FactUpdate): void;
   /**
    * @param request Fingerprint of a request that is running.
    * @param stop Called when the request is set aside.
--- a/src/quarantine/suspect_tracker_test.ts
+++ b/src/quarantine/suspect_tracker_test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { createNewsBoard } from "../news/board.ts";
-import type { NewsItem } from "../news/types.ts";
+import { createFactStore } from "../news/fact_store.ts";
+import type { FactUpdate } from "../news/types.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { makeAnswerUpdate, makeCrashUpdate } from "./suspect_facts.ts";
@@ -17,15 +17,15 @@
 
 interface TestVm {
   tracker: SuspectTracker;
-  store: ReturnType<typeof createNewsBoard>;
-  unsent: NewsItem[];
+  store: ReturnType<typeof createFactStore>;
+  unsent: FactUpdate[];
 }
 
 /** Starts VMs whose facts reach the others only by `propagate`. */
 function startFleet(clock: FakeClock, size: number, maxServerCrashes = 3) {
   const vms: TestVm[] = Array.from({ length: size }, (_, index) => {
-    const store = createNewsBoard(clock);
-    const unsent: NewsItem[] = [];
+    const store = createFactStore(clock);
+    const unsent: FactUpdate[] = [];
     const tracker = createSuspectTracker({
       clock,
       log: createSilentLog(),
