--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -7,10 +7,13 @@
   listLimitScenarios,
   listServerScenarios,
 } from "../src/limits/model/scenarios.ts";
-import { type LimitWay, playLimits } from "../src/limits/model/world.ts";
+import {
+  type LimitStrategy,
+  simulateLimits,
+} from "../src/limits/model/simulation.ts";
 import { publish, type Row } from "./report.ts";
 
-const WAYS: readonly LimitWay[] = ["equal_parts", "shared_usage"];
+const WAYS: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
 const FLEETS = [{ vms: 9, ratePerS: 25 }, { vms: 60, ratePerS: 25 }, {
   vms: 60,
   ratePerS: 200,
@@ -27,7 +30,10 @@
         load: scenario.name,
       };
       for (const way of WAYS) {
-        const { servedShare, mostOfBound } = playLimits(way, scenario);
+        const { servedShare, maxBoundRatio: mostOfBound } = simulateLimits(
+          way,
+          scenario,
+        );
         row[`${way}: served`] = Number(servedShare.toFixed(3));
         row[`${way}: most`] = Number(mostOfBound.toFixed(3));
       }
@@ -37,7 +43,7 @@
   publish("limits", "Served of what is allowed, and most of the bound", rows);
 }
 
-const SERVER_WAYS: readonly LimitWay[] = [
+const SERVER_WAYS: readonly LimitStrategy[] = [
   "ranked_senders",
   "equal_parts",
   "shared_usage",
@@ -57,10 +63,12 @@
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       const row: Row = { vms, ratePerS, load: scenario.name };
       for (const way of SERVER_WAYS) {
-        const figures = SEEDS.map((seed) => playLimits(way, scenario, seed));
+        const figures = SEEDS.map((seed) =>
+          simulateLimits(way, scenario, seed)
+        );
         const served = figures.reduce((sum, one) => sum + one.served, 0);
         const allowed = figures.reduce((sum, one) => sum + one.allowed, 0);
-        const most = Math.max(...figures.map((one) => one.mostOfBound));
+        const most = Math.max(...figures.map((one) => one.maxBoundRatio));
         row[`${way}: served`] = Number((served / allowed).toFixed(3));
         row[`${way}: most`] = Number(most.toFixed(3));
       }
--- a/bench/request_path.ts
+++ b/bench/request_path.ts
@@ -33,7 +33,7 @@
   Outcome,
 } from "../src/forwarding/types.ts";
 import { createFakeClock, type FakeClock } from "../src/runtime/clock.ts";
-import type { EndCheck } from "../src/servers/end_check.ts";
+import type { CrashCheck } from "../src/servers/crash_check.ts";
 import {
   createRandom,
   drawExponential,
@@ -157,7 +157,7 @@
   const { document, fault } = made;
   const backends = new QueueingBackends(document, { clock, random });
   const policy = makePolicy(createRandom(11));
-  const endCheck: EndCheck = { check: () => Promise.resolve("runs") };
+  const endCheck: CrashCheck = { check: () => Promise.resolve("runs") };
   const deadly = createDeadlyRequests(clock, endCheck);
   const runner = createLocalRunner({ clock, random, backends, policy, deadly });
   const { set } = runner.line(document);
--- a/src/accounts/caller_check.ts
+++ b/src/accounts/caller_check.ts
@@ -9,12 +9,16 @@
 import type { Random } from "../runtime/random.ts";
 import type { Caller, CallerTerms, ServeResult } from "../serving/types.ts";
 import type { Log } from "../telemetry/log.ts";
-import { combineHomes, getUnprovenRetryMs, identify } from "./gate.ts";
+import {
+  getUnprovenRetryMs,
+  identifyCaller,
+  intersectHomeRegions,
+} from "./identification.ts";
 import type { RateLimiter } from "../limits/limiter.ts";
 import type { AccountBounds, ClientAccount } from "./types.ts";
 
 /** What the check of callers needs. */
-export interface CallerCheckParts {
+export interface CallerCheckOptions {
   log: Log;
   random: Random;
   bounds: AccountBounds;
@@ -49,14 +53,14 @@
    */
   check(table: RouteTable, route: Route, terms: CallerTerms): CheckedCaller;
   /** Takes back what was counted for a request that did not run. */
-  giveBack(accepted: AcceptedCaller): void;
+  refund(accepted: AcceptedCaller): void;
 }
 
 /**
  * @param parts What it needs.
  * @returns A check of callers.
  */
-export function createCallerCheck(parts: CallerCheckParts): CallerCheck {
+export function createCallerCheck(parts: CallerCheckOptions): CallerCheck {
   const { log, random, bounds, limiter } = parts;
 
   function takeWithin(
@@ -79,7 +83,7 @@
       const knowledgeAgeMs = parts.getKnowledgeAgeMs();
       const { accounts, configuration } = table;
       const { isPublic } = route;
-      const found = identify(
+      const found = identifyCaller(
         { accounts, isPublic, apiKey, knowledgeAgeMs },
         bounds,
       );
@@ -99,7 +103,10 @@
           kind: "accepted",
           caller: { kind: "account", name: account.name },
           account,
-          homeRegions: combineHomes(route.homeRegions, account.homeRegions),
+          homeRegions: intersectHomeRegions(
+            route.homeRegions,
+            account.homeRegions,
+          ),
         };
       }
       log.info(
@@ -121,8 +128,8 @@
         };
       return { kind: "rejected", result };
     },
-    giveBack({ account }) {
-      if (account !== undefined) limiter.giveBack(account);
+    refund({ account }) {
+      if (account !== undefined) limiter.refund(account);
     },
   };
 }
--- a/src/accounts/gate.ts
+++ b/src/accounts/identification.ts
@@ -44,9 +44,12 @@
  * @param bounds How old knowledge may be.
  * @returns Who calls.
  */
-export function identify(
+export function identifyCaller(
   { accounts, isPublic, apiKey, knowledgeAgeMs }: Credentials,
-  { configurationMs, withdrawalMs = Infinity }: AccountBounds,
+  {
+    configurationDeadlineMs: configurationMs,
+    revocationDeadlineMs: withdrawalMs = Infinity,
+  }: AccountBounds,
 ): Identification {
   if (accounts === undefined || isPublic) return { kind: "open" };
   // No configuration, however new, knows a caller that shows no key.
@@ -79,7 +82,7 @@
  * @param account Regions that may serve the account; empty for all.
  * @returns Regions that may serve both, empty for all; undefined where none may.
  */
-export function combineHomes(
+export function intersectHomeRegions(
   route: readonly string[],
   account: readonly string[],
 ): readonly string[] | undefined {
--- a/src/accounts/gate_test.ts
+++ b/src/accounts/identification_test.ts
@@ -1,13 +1,17 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { createAccountDirectory } from "./directory.ts";
-import { combineHomes, type Credentials, identify } from "./gate.ts";
+import {
+  type Credentials,
+  identifyCaller,
+  intersectHomeRegions,
+} from "./identification.ts";
 import { digestKey } from "./keys.ts";
 import type { AccountBounds, ClientAccount } from "./types.ts";
 
 const BOUNDS: AccountBounds = {
-  configurationMs: 3_000,
-  withdrawalMs: 5_000,
+  configurationDeadlineMs: 3_000,
+  revocationDeadlineMs: 5_000,
   limitMargin: { windowMs: 5_000, ratio: 0.1, allowance: 20 },
 };
 
@@ -26,7 +30,7 @@
 ]);
 
 function identifyWith(changes: Partial<Credentials>, bounds = BOUNDS): string {
-  const found = identify({
+  const found = identifyCaller({
     accounts,
     isPublic: false,
     apiKey: "k1",
@@ -72,11 +76,13 @@
 });
 
 test("homes of the route and of the account both bind", () => {
-  assert.equal(combineHomes([], []), []);
-  assert.equal(combineHomes(["oslo"], []), ["oslo"]);
-  assert.equal(combineHomes([], ["bergen"]), ["bergen"]);
-  assert.equal(combineHomes(["oslo", "bergen"], ["bergen"]), ["bergen"]);
-  assert.is(combineHomes(["oslo"], ["bergen"]), undefined);
+  assert.equal(intersectHomeRegions([], []), []);
+  assert.equal(intersectHomeRegions(["oslo"], []), ["oslo"]);
+  assert.equal(intersectHomeRegions([], ["bergen"]), ["bergen"]);
+  assert.equal(intersectHomeRegions(["oslo", "bergen"], ["bergen"]), [
+    "bergen",
+  ]);
+  assert.is(intersectHomeRegions(["oslo"], ["bergen"]), undefined);
 });
 
 test.run();
--- a/src/accounts/types.ts
+++ b/src/accounts/types.ts
@@ -4,10 +4,10 @@
  * @module
  */
 
-import type { LimitHolder, LimitMargin } from "../limits/limiter.ts";
+import type { LimitMargin, LimitSubject } from "../limits/limiter.ts";
 
 /** A client account of the configuration, with its limit over all VMs. */
-export interface ClientAccount extends LimitHolder {
+export interface ClientAccount extends LimitSubject {
   /**
    * Digests of its API keys. The keys themselves are not kept: what passes
    * between VMs, into logs or dumps gives none away.
@@ -22,12 +22,12 @@
 /** Bounds on what VMs may do by what they know of accounts. */
 export interface AccountBounds {
   /** Time in which a change has to be in force on VMs that are in touch. */
-  configurationMs: number;
+  configurationDeadlineMs: number;
   /**
    * Time from its withdrawal after which a key runs nothing, on any VM; absent
    * where cut-off VMs may go by what they know.
    */
-  withdrawalMs?: number;
+  revocationDeadlineMs?: number;
   /** What all VMs together may exceed a limit by. */
   limitMargin: LimitMargin;
 }
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -22,7 +22,7 @@
 import type { Daemon } from "../runtime/process.ts";
 import { createRandom } from "../runtime/random.ts";
 import type { DaemonSettings } from "../runtime/settings.ts";
-import { createEndCheck } from "../servers/end_check.ts";
+import { createCrashCheck } from "../servers/crash_check.ts";
 import { startServerWatch } from "./server_watch.ts";
 
 const LOAD_PERIOD_MS = 500;
@@ -55,7 +55,7 @@
   const random = createRandom(agent.self.incarnation & SEED_MASK);
   const backends = new HttpBackendClient();
   const policy = new ExpectedLatencyChoice(random);
-  const deadly = createDeadlyRequests(clock, createEndCheck(dial));
+  const deadly = createDeadlyRequests(clock, createCrashCheck(dial));
   const runner = createLocalRunner({
     clock,
     random,
--- a/src/forwarding/deadly_requests.ts
+++ b/src/forwarding/deadly_requests.ts
@@ -14,7 +14,7 @@
 import { DEFAULT_MAX_SERVER_ENDS, maySendAgain } from "../quarantine/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { createLogger } from "../runtime/logger.ts";
-import type { EndCheck } from "../servers/end_check.ts";
+import type { CrashCheck } from "../servers/crash_check.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import type { ForwardRequest } from "./types.ts";
 
@@ -45,7 +45,7 @@
  */
 export function createDeadlyRequests(
   clock: Clock,
-  endCheck: EndCheck,
+  endCheck: CrashCheck,
 ): DeadlyRequests {
   const board = createNewsBoard(clock);
   const ends = new Map<string, { count: number; atMs: number }>();
--- a/src/forwarding/local_runner_test.ts
+++ b/src/forwarding/local_runner_test.ts
@@ -6,7 +6,7 @@
 import type { HealthReport } from "../control/messages.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { createRandom, type Random } from "../runtime/random.ts";
-import type { EndCheck } from "../servers/end_check.ts";
+import type { CrashCheck } from "../servers/crash_check.ts";
 import { BackendClient, type BackendExchange } from "./backend_client.ts";
 import { ExpectedLatencyChoice } from "./choice.ts";
 import { createDeadlyRequests } from "./deadly_requests.ts";
@@ -134,7 +134,7 @@
   const random = createRandom(seed);
   const backends = new FakeBackends(clock, random, () => modeOf(random));
   const policy = new ExpectedLatencyChoice(random);
-  const endCheck: EndCheck = { check: () => Promise.resolve("ended") };
+  const endCheck: CrashCheck = { check: () => Promise.resolve("ended") };
   const deadly = createDeadlyRequests(clock, endCheck);
   const runner = createLocalRunner({ clock, random, backends, policy, deadly });
   const { set } = runner.line(document);
--- a/src/gateway/core.ts
+++ b/src/gateway/core.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import type { RateLimiter } from "../limits/limiter.ts";
-import { createLimitPool, type LimitPool } from "../limits/pool.ts";
+import { createLimitShares, type LimitShares } from "../limits/shares.ts";
 import {
   type CallerCheck,
   createCallerCheck,
 } from "../accounts/caller_check.ts";
-import { SharedUsage } from "../limits/shared_usage.ts";
+import { SharedUsageLimiter } from "../limits/shared_usage_limiter.ts";
 import type { RunningRequests } from "../activity/running.ts";
 import type { MemberTable } from "../members/table.ts";
 import type { DemandByRegion, VmIdentity } from "../members/types.ts";
@@ -35,8 +35,8 @@
 import { hashToUnit } from "../runtime/hash.ts";
 import { createRandom } from "../runtime/random.ts";
 import { createColdLimit } from "../servers/cold_limit.ts";
-import { getConnectionPart } from "../servers/connection_part.ts";
-import { createEndCheck } from "../servers/end_check.ts";
+import { computeConnectionLimit } from "../servers/connection_limit.ts";
+import { createCrashCheck } from "../servers/crash_check.ts";
 import {
   createServerRegistry,
   type ServerRegistry,
@@ -81,7 +81,7 @@
   flow: Flow;
   callerCheck: CallerCheck;
   limiter: RateLimiter;
-  limitPool: LimitPool;
+  limitPool: LimitShares;
   suspects: Suspects;
   serverLimits: ServerLimits;
   /** @returns Routes in force; undefined before the first configuration. */
@@ -124,7 +124,7 @@
   const exchange = createExchange(codec, getConnectionLimit);
 
   function getConnectionLimit(server: ListedServer): number {
-    return getConnectionPart(getTerms(server.service)?.maxConnections, {
+    return computeConnectionLimit(getTerms(server.service)?.maxConnections, {
       serving: vms.countServing(),
       known: countKnown(),
     });
@@ -158,7 +158,7 @@
     registry,
     table,
     trend: createDemandTrend(clock),
-    getSlots: permits.getSlots,
+    getSlots: permits.getEffectiveSlots,
     getOwnDemand: demand.getRates,
     getFleetDemand: parts.getFleetDemand,
   });
@@ -205,15 +205,15 @@
     retention,
     getTerms,
   });
-  const limitPool = createLimitPool(clock, countKnown);
-  const limiter = new SharedUsage({
+  const limitPool = createLimitShares(clock, countKnown);
+  const limiter = new SharedUsageLimiter({
     clock,
     random,
-    getPart: limitPool.getPart,
-    getOwnPart: limitPool.getOwnPart,
-    getSettledMs: limitPool.getSettledMs,
+    getShare: limitPool.getShare,
+    getOwnShare: limitPool.getOwnShare,
+    getStableMs: limitPool.getStableMs,
     margin: settings.accounts.limitMargin,
-    findHolder: (name) => routes?.accounts?.get(name),
+    findSubject: (name) => routes?.accounts?.get(name),
   });
   const callerCheck = createCallerCheck({
     log,
@@ -245,7 +245,7 @@
     pace,
     memory,
     exchange,
-    endCheck: createEndCheck(dial),
+    endCheck: createCrashCheck(dial),
     suspects,
     permits,
     limiter,
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import process from "node:process";
-import { packUsage } from "../limits/usage_form.ts";
+import { encodeUsage } from "../limits/usage_encoding.ts";
 import { startUsageSharing } from "../limits/usage_sharing.ts";
 import { createRunningRequests } from "../activity/running.ts";
 import { startSharing } from "../activity/sharing.ts";
@@ -171,16 +171,16 @@
     self,
     clock,
     limiter: core.limiter,
-    pool: core.limitPool,
-    isNeeded: () => core.getRoutes()?.accounts !== undefined,
-    listOthers: () => table.listAlive().map(({ identity }) => identity),
+    limitShares: core.limitPool,
+    hasLimits: () => core.getRoutes()?.accounts !== undefined,
+    listPeers: () => table.listAlive().map(({ identity }) => identity),
     getTopology: mesh.getTopology,
     send: (vmIds, { scope, vms, usage }) =>
       mesh.sendTo(vmIds, {
         kind: "usage",
         scope,
         vms,
-        usage: packUsage(usage),
+        usage: encodeUsage(usage),
       }),
   });
   const limitSharing = startServerLimitSharing({
@@ -194,7 +194,7 @@
         kind: "server_usage",
         scope,
         vms,
-        usage: packUsage(usage),
+        usage: encodeUsage(usage),
       }),
     tellRates: mesh.tellServerRateLimits,
   });
@@ -266,7 +266,7 @@
     startCheck.cancel();
     mesh.reportNow();
   });
-  const { withdrawalMs } = settings.accounts;
+  const { revocationDeadlineMs: withdrawalMs } = settings.accounts;
   const knowledgeWatch = withdrawalMs === undefined
     ? undefined
     : watchKnowledge({ clock, log, knowledge, maxAgeMs: withdrawalMs });
@@ -319,7 +319,7 @@
     "hasDuty" | "isOverdue" | "onNews" | "onRead" | "getInstant"
   >,
 ): Reader[] {
-  const isStrict = settings.accounts.withdrawalMs !== undefined;
+  const isStrict = settings.accounts.revocationDeadlineMs !== undefined;
   return SOURCE_TOPICS.map((topic) => {
     const times = topic === "operations" && isStrict
       ? STRICT_READER_TIMES
--- a/src/gateway/gauges.ts
+++ b/src/gateway/gauges.ts
@@ -51,7 +51,7 @@
     },
     limit_part: {
       help: "Part of each account's limit that the VMs heard here hold",
-      read: () => core.limitPool.getPart(),
+      read: () => core.limitPool.getShare(),
     },
     draining_servers: {
       help: "Backend servers that announced their drain and are still listed",
--- a/src/gateway/server_limits.ts
+++ b/src/gateway/server_limits.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import type { LimitMargin, RateLimiter } from "../limits/limiter.ts";
-import { createLimitPool, type LimitPool } from "../limits/pool.ts";
-import { SharedUsage } from "../limits/shared_usage.ts";
+import { createLimitShares, type LimitShares } from "../limits/shares.ts";
+import { SharedUsageLimiter } from "../limits/shared_usage_limiter.ts";
 import {
   startUsageSharing,
-  type UsageNews,
   type UsageSharing,
+  type UsageUpdate,
 } from "../limits/usage_sharing.ts";
 import type { Topology } from "../members/hubs.ts";
 import type { VmIdentity } from "../members/types.ts";
@@ -23,11 +23,11 @@
 import {
   createServerPermits,
   type ServerPermits,
-  toLimitHolder,
+  toLimitSubject,
 } from "../servers/permits.ts";
 import {
   createServerRateLimits,
-  type RateLimitNews,
+  type RateLimitUpdate,
   type ServerRateLimits,
 } from "../servers/rate_limits.ts";
 import type { RunTimes } from "../servers/run_times.ts";
@@ -37,7 +37,7 @@
 export interface ServerLimits {
   rateLimits: ServerRateLimits;
   limiter: RateLimiter;
-  pool: LimitPool;
+  pool: LimitShares;
   backoffs: ServerBackoffs;
   permits: ServerPermits;
 }
@@ -65,18 +65,20 @@
 export function createServerLimits(parts: ServerLimitParts): ServerLimits {
   const { clock, log, random, ownId, countKnown, runTimes } = parts;
   const rateLimits = createServerRateLimits({ clock, log, ownId });
-  const pool = createLimitPool(clock, countKnown);
-  const limiter = new SharedUsage({
+  const pool = createLimitShares(clock, countKnown);
+  const limiter = new SharedUsageLimiter({
     clock,
     random,
-    getPart: pool.getPart,
-    getOwnPart: pool.getOwnPart,
+    getShare: pool.getShare,
+    getOwnShare: pool.getOwnShare,
     // A limit begins while its server is in use: no burst is saved up.
-    getSettledMs: () => 0,
+    getStableMs: () => 0,
     margin: MARGIN,
-    findHolder(name) {
+    findSubject(name) {
       const ratePerS = rateLimits.getRatePerS(name);
-      return ratePerS === undefined ? undefined : toLimitHolder(name, ratePerS);
+      return ratePerS === undefined
+        ? undefined
+        : toLimitSubject(name, ratePerS);
     },
   });
   const backoffs = createServerBackoffs(clock, log);
@@ -97,8 +99,8 @@
   limits: ServerLimits;
   listOthers: () => VmIdentity[];
   getTopology: () => Topology;
-  sendUsage: (vmIds: readonly string[], news: UsageNews) => void;
-  tellRates: (rates: RateLimitNews[]) => void;
+  sendUsage: (vmIds: readonly string[], news: UsageUpdate) => void;
+  tellRates: (rates: RateLimitUpdate[]) => void;
 }
 
 /**
@@ -114,14 +116,14 @@
     self,
     clock,
     limiter,
-    pool,
-    isNeeded: () => rateLimits.count() > 0,
-    listOthers: parts.listOthers,
+    limitShares: pool,
+    hasLimits: () => rateLimits.count() > 0,
+    listPeers: parts.listOthers,
     getTopology: parts.getTopology,
     send: parts.sendUsage,
   });
   const timer = clock.every(TELL_MS, () => {
-    const rates = rateLimits.takeNews();
+    const rates = rateLimits.takeUpdates();
     if (rates.length > 0) parts.tellRates(rates);
   });
   return {
--- a/src/gateway/state_dump.ts
+++ b/src/gateway/state_dump.ts
@@ -43,11 +43,11 @@
       SOURCE_TOPICS.map((topic) => [topic, board.listEpochs(topic)]),
     ),
     configurationVersion: board.get(CONFIGURATION_KEY)?.version,
-    limitPart: core.limitPool.getPart(),
+    limitPart: core.limitPool.getShare(),
     limits: core.limiter.list(),
     serverRateLimits: core.serverLimits.rateLimits.list(),
     serverBackoffs: core.serverLimits.backoffs.list(),
-    serverLimitPart: core.serverLimits.pool.getPart(),
+    serverLimitPart: core.serverLimits.pool.getShare(),
     evacuated: core.registry.listEvacuated(),
     servers: core.registry.listAll().map((server) =>
       dumpServer(server, core.registry)
@@ -76,7 +76,7 @@
   const { listed, load, health } = server;
   return {
     ...listed,
-    use: load.getUse(),
+    use: load.getUtilization(),
     ownRequests: load.getOwn(),
     failureShare: health.getFailureShare(),
     isEjected: health.isEjected(),
--- a/src/limits/bucket.ts
+++ b/src/limits/bucket.ts
@@ -5,13 +5,13 @@
  */
 
 /** A bucket at some time. */
-export interface Bucket {
+export interface TokenBucket {
   level: number;
   refilledAtMs: number;
 }
 
 /** How a bucket refills. */
-export interface BucketTerms {
+export interface BucketSettings {
   ratePerS: number;
   burst: number;
 }
@@ -25,8 +25,8 @@
  * @param nowMs Now, on the monotonic clock.
  */
 export function refill(
-  bucket: Bucket,
-  { ratePerS, burst }: BucketTerms,
+  bucket: TokenBucket,
+  { ratePerS, burst }: BucketSettings,
   nowMs: number,
 ): void {
   const elapsedS = (nowMs - bucket.refilledAtMs) / 1_000;
@@ -37,7 +37,7 @@
 
 /** Requests in a moving second, older ones counting less and less. */
 export interface RateMeter {
-  note(requests: number): void;
+  record(requests: number): void;
   getPerS(): number;
 }
 
@@ -59,7 +59,7 @@
   }
 
   return {
-    note(requests) {
+    record(requests) {
       age();
       total += requests;
     },
@@ -73,7 +73,7 @@
 /** Requests in a moving window. */
 export interface WindowCounter {
   /** @param requests Added; below zero, taken back. */
-  note(requests: number): void;
+  record(requests: number): void;
   count(): number;
 }
 
@@ -97,7 +97,7 @@
   }
 
   return {
-    note(requests) {
+    record(requests) {
       const step = getStep();
       counts.set(step, (counts.get(step) ?? 0) + requests);
     },
--- a/src/limits/equal_parts.ts
+++ b/src/limits/equal_share_limiter.ts
@@ -7,10 +7,10 @@
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import { type Bucket, refill } from "./bucket.ts";
+import { refill, type TokenBucket } from "./bucket.ts";
 import {
   type Admission,
-  type LimitedHolder,
+  type LimitedSubject,
   type LimitState,
   type LimitUsage,
   MAX_LISTED,
@@ -18,11 +18,11 @@
 } from "./limiter.ts";
 
 /** Gives each VM its part of each limit. */
-export class EqualParts extends RateLimiter {
+export class EqualShareLimiter extends RateLimiter {
   readonly #clock: Clock;
   readonly #countVms: () => number;
   readonly #startedAtMs: number;
-  readonly #buckets = new Map<string, Bucket>();
+  readonly #buckets = new Map<string, TokenBucket>();
 
   /**
    * @param clock The clock.
@@ -35,7 +35,7 @@
     this.#startedAtMs = clock.monotonicMs();
   }
 
-  protected override takeLimited(holder: LimitedHolder): Admission {
+  protected override takeLimited(holder: LimitedSubject): Admission {
     const bucket = this.#refill(holder);
     if (bucket.level >= 1) {
       bucket.level--;
@@ -45,11 +45,11 @@
     return { kind: "over", retryAfterMs: (1 - bucket.level) * 1_000 / ownPerS };
   }
 
-  protected override count(holder: LimitedHolder, runs: number): void {
+  protected override count(holder: LimitedSubject, runs: number): void {
     this.#refill(holder).level -= runs;
   }
 
-  override takeNews(): LimitUsage[] {
+  override takeUsage(): LimitUsage[] {
     return [];
   }
 
@@ -61,7 +61,7 @@
     ) => ({ name, level, ownPerS: 0, othersPerS: 0 }));
   }
 
-  #refill({ name, ratePerS, burst }: LimitedHolder): Bucket {
+  #refill({ name, ratePerS, burst }: LimitedSubject): TokenBucket {
     const known = this.#buckets.get(name);
     const bucket = known ?? { level: 0, refilledAtMs: this.#startedAtMs };
     if (known === undefined) this.#buckets.set(name, bucket);
--- a/src/limits/limiter.ts
+++ b/src/limits/limiter.ts
@@ -5,7 +5,7 @@
  */
 
 /** What has a limit of its own, such as a client account. */
-export interface LimitHolder {
+export interface LimitSubject {
   name: string;
   /** Requests a second over all VMs together; absent where there is no limit. */
   ratePerS?: number;
@@ -39,13 +39,13 @@
 }
 
 /** A holder whose limit is a finite one. */
-export type LimitedHolder = LimitHolder & { ratePerS: number };
+export type LimitedSubject = LimitSubject & { ratePerS: number };
 
 /**
  * @param holder A holder.
  * @returns Whether it has a limit.
  */
-export function isLimited(holder: LimitHolder): holder is LimitedHolder {
+export function isLimited(holder: LimitSubject): holder is LimitedSubject {
   return holder.ratePerS !== undefined;
 }
 
@@ -55,7 +55,7 @@
    * @param holder Whose limit.
    * @returns Whether one more request may run; it is counted then.
    */
-  take(holder: LimitHolder): Admission {
+  take(holder: LimitSubject): Admission {
     return isLimited(holder) ? this.takeLimited(holder) : { kind: "within" };
   }
   /**
@@ -63,7 +63,7 @@
    *
    * @param holder Whose limit.
    */
-  charge(holder: LimitHolder): void {
+  charge(holder: LimitSubject): void {
     if (isLimited(holder)) this.count(holder, 1);
   }
   /**
@@ -71,19 +71,19 @@
    *
    * @param holder Whose limit.
    */
-  giveBack(holder: LimitHolder): void {
+  refund(holder: LimitSubject): void {
     if (isLimited(holder)) this.count(holder, -1);
   }
   /** The same as `take`, for those that have a limit. */
-  protected abstract takeLimited(holder: LimitedHolder): Admission;
+  protected abstract takeLimited(holder: LimitedSubject): Admission;
   /**
    * Counts runs beside those that were taken.
    *
    * @param runs How many; below zero, taken back.
    */
-  protected abstract count(holder: LimitedHolder, runs: number): void;
+  protected abstract count(holder: LimitedSubject, runs: number): void;
   /** @returns What was asked at this VM since the last call. */
-  abstract takeNews(): LimitUsage[];
+  abstract takeUsage(): LimitUsage[];
   /**
    * Takes in what was asked at other VMs.
    *
--- a/src/limits/model/limits_test.ts
+++ b/src/limits/model/limits_test.ts
@@ -1,9 +1,9 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { listLimitScenarios, listServerScenarios } from "./scenarios.ts";
-import { type LimitWay, playLimits } from "./world.ts";
+import { type LimitStrategy, simulateLimits } from "./simulation.ts";
 
-const WAYS: readonly LimitWay[] = ["equal_parts", "shared_usage"];
+const WAYS: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
 const FLEETS = [
   { vms: 9, ratePerS: 25 },
   { vms: 60, ratePerS: 200 },
@@ -19,7 +19,7 @@
         for (const burstS of BURSTS_S) {
           for (const seed of SEEDS) {
             const burst = burstS * scenario.ratePerS;
-            const { mostOfBound } = playLimits(
+            const { maxBoundRatio: mostOfBound } = simulateLimits(
               way,
               { ...scenario, burst },
               seed,
@@ -48,7 +48,7 @@
     const scenario = listLimitScenarios(60, 200).find(({ name }) =>
       name === load
     );
-    const { servedShare } = playLimits("shared_usage", scenario!);
+    const { servedShare } = simulateLimits("shared_usage", scenario!);
     assert.ok(servedShare >= aim, `${servedShare}`);
   });
 }
@@ -63,7 +63,11 @@
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       for (const seed of SEEDS) {
-        const { mostOfBound } = playLimits("shared_usage", scenario, seed);
+        const { maxBoundRatio: mostOfBound } = simulateLimits(
+          "shared_usage",
+          scenario,
+          seed,
+        );
         const name = `${scenario.name}, ${vms} VMs, seed ${seed}`;
         assert.ok(mostOfBound <= 1, `${name}: ${mostOfBound}`);
       }
@@ -79,7 +83,7 @@
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       const isWell = ["all is well", "one VM gets all"].includes(scenario.name);
       if (!isWell) continue;
-      const { servedShare } = playLimits("shared_usage", scenario);
+      const { servedShare } = simulateLimits("shared_usage", scenario);
       assert.ok(servedShare >= SERVER_AIM, `${vms} VMs: ${servedShare}`);
     }
   }
--- a/src/limits/model/ranked_senders.ts
+++ b/src/limits/model/ranked_sender_limiter.ts
@@ -7,7 +7,7 @@
 import { type ColdLimit, createColdLimit } from "../../servers/cold_limit.ts";
 import {
   type Admission,
-  type LimitedHolder,
+  type LimitedSubject,
   type LimitState,
   type LimitUsage,
   RateLimiter,
@@ -20,7 +20,7 @@
 }
 
 /** Gives few VMs the whole of each limit, as cold servers are limited. */
-export class RankedSenders extends RateLimiter {
+export class RankedSenderLimiter extends RateLimiter {
   readonly #senders: Senders;
   readonly #limit: ColdLimit;
 
@@ -36,7 +36,9 @@
     this.#limit = createColdLimit({ clock, ownId, listVms });
   }
 
-  protected override takeLimited({ name, ratePerS }: LimitedHolder): Admission {
+  protected override takeLimited(
+    { name, ratePerS }: LimitedSubject,
+  ): Admission {
     const isTaken = this.#limit.take(name, ratePerS, this.#senders.region);
     return isTaken
       ? { kind: "within" }
@@ -45,7 +47,7 @@
 
   protected override count(): void {}
 
-  override takeNews(): LimitUsage[] {
+  override takeUsage(): LimitUsage[] {
     return [];
   }
 
--- a/src/limits/model/scenarios.ts
+++ b/src/limits/model/scenarios.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { LimitMargin } from "../limiter.ts";
-import type { LimitScenario } from "./world.ts";
+import type { LimitScenario } from "./simulation.ts";
 
 const DURATION_MS = 20_000;
 const CUT_AT_MS = 6_000;
--- a/src/limits/model/world.ts
+++ b/src/limits/model/simulation.ts
@@ -9,20 +9,20 @@
 import type { VmIdentity } from "../../members/types.ts";
 import { createFakeClock, type FakeClock } from "../../runtime/clock.ts";
 import { createRandom, type Random } from "../../runtime/random.ts";
-import { type Bucket, refill } from "../bucket.ts";
-import { EqualParts } from "../equal_parts.ts";
-import type { LimitedHolder, LimitMargin, RateLimiter } from "../limiter.ts";
-import { createLimitPool } from "../pool.ts";
-import { SharedUsage } from "../shared_usage.ts";
-import { RankedSenders } from "./ranked_senders.ts";
+import { refill, type TokenBucket } from "../bucket.ts";
+import { EqualShareLimiter } from "../equal_share_limiter.ts";
+import type { LimitedSubject, LimitMargin, RateLimiter } from "../limiter.ts";
+import { createLimitShares } from "../shares.ts";
+import { SharedUsageLimiter } from "../shared_usage_limiter.ts";
+import { RankedSenderLimiter } from "./ranked_sender_limiter.ts";
 import {
   startUsageSharing,
-  type UsageNews,
   type UsageSharing,
+  type UsageUpdate,
 } from "../usage_sharing.ts";
 
 /** A way of keeping limits. */
-export type LimitWay = "equal_parts" | "shared_usage" | "ranked_senders";
+export type LimitStrategy = "equal_parts" | "shared_usage" | "ranked_senders";
 
 /** What happens to a fleet. */
 export interface LimitScenario {
@@ -50,7 +50,7 @@
 }
 
 /** What came of it. */
-export interface LimitFigures {
+export interface LimitStats {
   asked: number;
   served: number;
   /** What one VM that knew everything would have served. */
@@ -58,7 +58,7 @@
   /** Served, of what was allowed. */
   servedShare: number;
   /** Most in any window, as a part of what the limit and its margin allow. */
-  mostOfBound: number;
+  maxBoundRatio: number;
 }
 
 const REGIONS = ["oslo", "bergen", "trondheim"];
@@ -89,18 +89,18 @@
  * @param seed Draws the moments at which requests come.
  * @returns What came of it.
  */
-export function playLimits(
-  way: LimitWay,
+export function simulateLimits(
+  way: LimitStrategy,
   scenario: LimitScenario,
   seed = 1,
-): LimitFigures {
+): LimitStats {
   const clock = createFakeClock();
   const random = createRandom(seed);
   const { ratePerS, burst } = scenario;
-  const holder: LimitedHolder = { name: HOLDER, ratePerS, burst };
+  const holder: LimitedSubject = { name: HOLDER, ratePerS, burst };
   const fleet = startFleet(way, scenario, { clock, random, holder });
   const level = scenario.startsEmpty ? 0 : burst;
-  const ideal: Bucket = { level, refilledAtMs: LEAD_MS };
+  const ideal: TokenBucket = { level, refilledAtMs: LEAD_MS };
   const servedAtMs: number[] = [];
   let asked = 0;
   let allowed = 0;
@@ -133,7 +133,7 @@
     served: servedAtMs.length,
     allowed,
     servedShare: servedAtMs.length / allowed,
-    mostOfBound: getMostOfBound(servedAtMs, scenario),
+    maxBoundRatio: getMostOfBound(servedAtMs, scenario),
   };
 }
 
@@ -143,12 +143,12 @@
 }
 
 function startFleet(
-  way: LimitWay,
+  way: LimitStrategy,
   scenario: LimitScenario,
   { clock, random, holder }: {
     clock: FakeClock;
     random: Random;
-    holder: LimitedHolder;
+    holder: LimitedSubject;
   },
 ): Fleet {
   const identities = Array.from(
@@ -161,7 +161,7 @@
   const topology = arrange(identities);
   const vms: ModelVm[] = [];
 
-  function deliver(from: VmIdentity, toId: string, news: UsageNews): void {
+  function deliver(from: VmIdentity, toId: string, news: UsageUpdate): void {
     const to = vms.find(({ identity }) => identity.id === toId);
     if (to === undefined) return;
     const isNear = from.region === to.identity.region;
@@ -181,33 +181,33 @@
 
   function startVm(identity: VmIdentity): ModelVm {
     if (way === "equal_parts") {
-      const limiter = new EqualParts(clock, () => scenario.vms);
+      const limiter = new EqualShareLimiter(clock, () => scenario.vms);
       return { identity, limiter, sharing: undefined, isUp: true };
     }
     if (way === "ranked_senders") {
-      const limiter = new RankedSenders(clock, identity.id, {
+      const limiter = new RankedSenderLimiter(clock, identity.id, {
         region: HOLDER_REGION,
         listVms: listUp,
       });
       return { identity, limiter, sharing: undefined, isUp: true };
     }
-    const pool = createLimitPool(clock, () => scenario.vms);
-    const limiter = new SharedUsage({
+    const pool = createLimitShares(clock, () => scenario.vms);
+    const limiter = new SharedUsageLimiter({
       clock,
       random,
-      getPart: pool.getPart,
-      getOwnPart: pool.getOwnPart,
-      getSettledMs: scenario.startsEmpty ? () => 0 : pool.getSettledMs,
+      getShare: pool.getShare,
+      getOwnShare: pool.getOwnShare,
+      getStableMs: scenario.startsEmpty ? () => 0 : pool.getStableMs,
       margin: scenario.margin ?? ACCOUNT_MARGIN,
-      findHolder: () => holder,
+      findSubject: () => holder,
     });
     const sharing = startUsageSharing({
       self: identity,
       clock,
       limiter,
-      pool,
-      isNeeded: () => true,
-      listOthers: () => identities.filter(({ id }) => id !== identity.id),
+      limitShares: pool,
+      hasLimits: () => true,
+      listPeers: () => identities.filter(({ id }) => id !== identity.id),
       getTopology: () => topology,
       send: (ids, news) => ids.forEach((id) => deliver(identity, id, news)),
     });
@@ -226,7 +226,7 @@
 function applyEvents(
   { lowered, restarts = [] }: LimitScenario,
   nowMs: number,
-  holder: LimitedHolder,
+  holder: LimitedSubject,
   fleet: Fleet,
 ): void {
   if (lowered?.atMs === nowMs) {
--- a/src/limits/shared_usage.ts
+++ b/src/limits/shared_usage_limiter.ts
@@ -15,42 +15,42 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Random } from "../runtime/random.ts";
 import {
-  type Bucket,
   createRateMeter,
   createWindowCounter,
   type RateMeter,
   refill,
+  type TokenBucket,
   type WindowCounter,
 } from "./bucket.ts";
 import {
   type Admission,
   isLimited,
-  type LimitedHolder,
-  type LimitHolder,
+  type LimitedSubject,
   type LimitMargin,
   type LimitState,
+  type LimitSubject,
   type LimitUsage,
   MAX_LISTED,
   RateLimiter,
 } from "./limiter.ts";
 
 /** What shared usage needs. */
-export interface SharedUsageParts {
+export interface SharedUsageOptions {
   clock: Clock;
   random: Random;
   /** Part of every limit that this VM and those that it hears from hold. */
-  getPart: () => number;
+  getShare: () => number;
   /** Part that this VM holds alone. */
-  getOwnPart: () => number;
+  getOwnShare: () => number;
   /** For how long this VM has heard what the common part is used for. */
-  getSettledMs: () => number;
+  getStableMs: () => number;
   margin: LimitMargin;
   /** Finds whose limit other VMs told of. */
-  findHolder: (name: string) => LimitHolder | undefined;
+  findSubject: (name: string) => LimitSubject | undefined;
 }
 
 interface Usage {
-  bucket: Bucket;
+  bucket: TokenBucket;
   /** Part of the limit that the bucket stands for. */
   part: number;
   own: RateMeter;
@@ -84,21 +84,21 @@
 const MAX_RETRY_MS = 10_000;
 
 /** Keeps limits by what VMs tell each other. */
-export class SharedUsage extends RateLimiter {
-  readonly #parts: SharedUsageParts;
+export class SharedUsageLimiter extends RateLimiter {
+  readonly #parts: SharedUsageOptions;
   readonly #usages = new Map<string, Usage>();
 
   /** @param parts What it needs. */
-  constructor(parts: SharedUsageParts) {
+  constructor(parts: SharedUsageOptions) {
     super();
     this.#parts = parts;
   }
 
-  protected override takeLimited(holder: LimitedHolder): Admission {
+  protected override takeLimited(holder: LimitedSubject): Admission {
     const { ratePerS, burst } = holder;
     const usage = this.#get(holder);
     usage.asked++;
-    usage.own.note(1);
+    usage.own.record(1);
     usage.usedAtMs = this.#parts.clock.monotonicMs();
     const isWithin = this.#isWithin(usage, ratePerS, burst) ||
       this.#isWithinOwnPart(usage, ratePerS, burst);
@@ -109,11 +109,11 @@
     return { kind: "within" };
   }
 
-  protected override count(holder: LimitedHolder, runs: number): void {
+  protected override count(holder: LimitedSubject, runs: number): void {
     spend(this.#get(holder), runs);
   }
 
-  override takeNews(): LimitUsage[] {
+  override takeUsage(): LimitUsage[] {
     const limitMs = this.#parts.clock.monotonicMs() - FORGET_MS;
     const news: LimitUsage[] = [];
     for (const [name, usage] of this.#usages) {
@@ -129,10 +129,10 @@
 
   override receive(told: readonly LimitUsage[]): void {
     for (const { name, asked, spent } of told) {
-      const holder = this.#parts.findHolder(name);
+      const holder = this.#parts.findSubject(name);
       if (holder === undefined || !isLimited(holder)) continue;
       const usage = this.#get(holder);
-      usage.others.note(asked);
+      usage.others.record(asked);
       usage.bucket.level -= spent;
       usage.usedAtMs = this.#parts.clock.monotonicMs();
     }
@@ -147,9 +147,9 @@
     }));
   }
 
-  #get(holder: LimitedHolder): Usage {
+  #get(holder: LimitedSubject): Usage {
     const { name, ratePerS, burst } = holder;
-    const { clock, getPart } = this.#parts;
+    const { clock, getShare: getPart } = this.#parts;
     const nowMs = clock.monotonicMs();
     const part = getPart();
     const usage = this.#usages.get(name) ?? this.#begin(holder, part);
@@ -163,7 +163,7 @@
     return usage;
   }
 
-  #begin(holder: LimitedHolder, part: number): Usage {
+  #begin(holder: LimitedSubject, part: number): Usage {
     const { clock, random } = this.#parts;
     const nowMs = clock.monotonicMs();
     const getNowMs = () => clock.monotonicMs();
@@ -190,8 +190,8 @@
    * A holder that nobody told of has rested for as long as others are heard
    * here. What was spent before that is not known.
    */
-  #getFirstLevel({ ratePerS, burst }: LimitedHolder, part: number): number {
-    const settledS = this.#parts.getSettledMs() / 1_000;
+  #getFirstLevel({ ratePerS, burst }: LimitedSubject, part: number): number {
+    const settledS = this.#parts.getStableMs() / 1_000;
     return Math.min(burst, ratePerS * settledS) * part;
   }
 
@@ -203,7 +203,7 @@
    */
   #isWithinOwnPart(usage: Usage, ratePerS: number, burst: number): boolean {
     if (usage.part >= SCATTERED_PART) return false;
-    const { margin, getOwnPart } = this.#parts;
+    const { margin, getOwnShare: getOwnPart } = this.#parts;
     const allowed = ratePerS * margin.windowMs / 1_000 + burst;
     const most = allowed * (1 + margin.ratio) + margin.allowance;
     return usage.window.count() + 1 <= OWN_PART * most * getOwnPart();
@@ -247,5 +247,5 @@
 function spend(usage: Usage, requests: number): void {
   usage.bucket.level -= requests;
   usage.spent += requests;
-  usage.window.note(requests);
+  usage.window.record(requests);
 }
--- a/src/limits/pool.ts
+++ b/src/limits/shares.ts
@@ -9,24 +9,24 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /** Who is heard from. */
-export interface LimitPool {
+export interface LimitShares {
   /**
    * @param source Who speaks.
    * @param vms For how many VMs.
    */
-  noteHeard(source: string, vms: number): void;
+  recordHeartbeat(source: string, vms: number): void;
   /** @returns VMs that are heard from, this one included. */
-  countHeard(): number;
+  countReachable(): number;
   /** @returns The part, 0 to 1. */
-  getPart(): number;
+  getShare(): number;
   /** @returns The part that this VM holds alone. */
-  getOwnPart(): number;
+  getOwnShare(): number;
   /** @returns For how long no other VM with much of a part was new here. */
-  getSettledMs(): number;
+  getStableMs(): number;
 }
 
 /** Sources speak twice as often at least, and a way between regions late. */
-export const HEARD_MS = 1_000;
+export const HEARTBEAT_TIMEOUT_MS = 1_000;
 
 /** The part has grown by much when it is this many times what it was. */
 const MUCH_GROWN = 1.1;
@@ -36,16 +36,16 @@
  * @param countKnown VMs that may serve, this one included.
  * @returns A pool in which nobody else is heard from.
  */
-export function createLimitPool(
+export function createLimitShares(
   clock: Clock,
   countKnown: () => number,
-): LimitPool {
+): LimitShares {
   let settledPart = 0;
   let settledAtMs = clock.monotonicMs();
   const sources = new Map<string, { vms: number; atMs: number }>();
 
   function countHeard(): number {
-    const limitMs = clock.monotonicMs() - HEARD_MS;
+    const limitMs = clock.monotonicMs() - HEARTBEAT_TIMEOUT_MS;
     let vms = 1;
     for (const [source, heard] of sources) {
       if (heard.atMs < limitMs) sources.delete(source);
@@ -67,16 +67,16 @@
   }
 
   return {
-    noteHeard(source, vms) {
+    recordHeartbeat(source, vms) {
       sources.set(source, { vms, atMs: clock.monotonicMs() });
       settle();
     },
-    countHeard,
-    getPart,
-    getSettledMs() {
+    countReachable: countHeard,
+    getShare: getPart,
+    getStableMs() {
       settle();
       return clock.monotonicMs() - settledAtMs;
     },
-    getOwnPart: () => 1 / Math.max(countHeard(), countKnown()),
+    getOwnShare: () => 1 / Math.max(countHeard(), countKnown()),
   };
 }
--- a/src/limits/usage_form.ts
+++ b/src/limits/usage_encoding.ts
@@ -21,13 +21,13 @@
 ])).max(MAX_HOLDERS);
 
 /** Usage as it travels. */
-export type PackedUsage = z.infer<typeof usageSchema>;
+export type EncodedUsage = z.infer<typeof usageSchema>;
 
 /**
  * @param usage What was used.
  * @returns It as it travels.
  */
-export function packUsage(usage: readonly LimitUsage[]): PackedUsage {
+export function encodeUsage(usage: readonly LimitUsage[]): EncodedUsage {
   return usage.map(({ name, asked, spent }) =>
     asked === spent ? [name, spent] : [name, spent, asked - spent]
   );
@@ -37,7 +37,7 @@
  * @param packed Usage as it travelled.
  * @returns What was used.
  */
-export function unpackUsage(packed: PackedUsage): LimitUsage[] {
+export function decodeUsage(packed: EncodedUsage): LimitUsage[] {
   return packed.map(([name, spent, beyond = 0]) => ({
     name,
     asked: spent + beyond,
--- a/src/limits/usage_form_test.ts
+++ b/src/limits/usage_encoding_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { packUsage, unpackUsage, usageSchema } from "./usage_form.ts";
+import { decodeUsage, encodeUsage, usageSchema } from "./usage_encoding.ts";
 
 test("usage arrives as it was sent, requests given back included", () => {
   const usage = [
@@ -8,9 +8,9 @@
     { name: "two", asked: 9, spent: 1 },
     { name: "three", asked: 0, spent: -2 },
   ];
-  const packed = packUsage(usage);
+  const packed = encodeUsage(usage);
   assert.equal(packed[0], ["one", 4]);
-  assert.equal(unpackUsage(usageSchema.parse(packed)), usage);
+  assert.equal(decodeUsage(usageSchema.parse(packed)), usage);
 });
 
 test.run();
--- a/src/limits/usage_sharing.ts
+++ b/src/limits/usage_sharing.ts
@@ -12,13 +12,13 @@
 import type { VmIdentity } from "../members/types.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LimitUsage, RateLimiter } from "./limiter.ts";
-import { HEARD_MS, type LimitPool } from "./pool.ts";
+import { HEARTBEAT_TIMEOUT_MS, type LimitShares } from "./shares.ts";
 
 /** For whom a message speaks: a VM, a region, or all but the receiver. */
 export type UsageScope = "vm" | "region" | "rest";
 
 /** What was used since the last message. */
-export interface UsageNews {
+export interface UsageUpdate {
   scope: UsageScope;
   /** For how many VMs the sender speaks. */
   vms: number;
@@ -26,22 +26,22 @@
 }
 
 /** What sharing needs. */
-export interface UsageSharingParts {
+export interface UsageSharingOptions {
   self: VmIdentity;
   clock: Clock;
   limiter: RateLimiter;
-  pool: LimitPool;
+  limitShares: LimitShares;
   /** Whether there is any limit. */
-  isNeeded: () => boolean;
+  hasLimits: () => boolean;
   /** Other VMs that are up. */
-  listOthers: () => VmIdentity[];
+  listPeers: () => VmIdentity[];
   getTopology: () => Topology;
-  send: (vmIds: readonly string[], news: UsageNews) => void;
+  send: (vmIds: readonly string[], news: UsageUpdate) => void;
 }
 
 /** Shares usage. */
 export interface UsageSharing {
-  receive(from: VmIdentity, news: UsageNews): void;
+  receive(from: VmIdentity, news: UsageUpdate): void;
   stop(): void;
 }
 
@@ -73,8 +73,8 @@
  * @param parts What sharing needs.
  * @returns The running exchange.
  */
-export function startUsageSharing(parts: UsageSharingParts): UsageSharing {
-  const { self, clock, limiter, pool, send } = parts;
+export function startUsageSharing(parts: UsageSharingOptions): UsageSharing {
+  const { self, clock, limiter, limitShares: pool, send } = parts;
   /** What members of this region told since the last time, by VM. */
   let ofMembers = new Map<string, LimitUsage[]>();
   let ofRegions: LimitUsage[] = [];
@@ -86,7 +86,11 @@
       findRelay(parts.getTopology(), self.region) === self.id;
   }
 
-  function tell(key: string, vmIds: readonly string[], news: UsageNews): void {
+  function tell(
+    key: string,
+    vmIds: readonly string[],
+    news: UsageUpdate,
+  ): void {
     const nowMs = clock.monotonicMs();
     const isSilent = nowMs - (toldAtMs.get(key) ?? -Infinity) < SILENT_MS;
     if (vmIds.length === 0 || news.usage.length === 0 && isSilent) return;
@@ -95,7 +99,7 @@
   }
 
   function listMembers(): string[] {
-    const limitMs = clock.monotonicMs() - HEARD_MS;
+    const limitMs = clock.monotonicMs() - HEARTBEAT_TIMEOUT_MS;
     for (const [id, atMs] of memberHeardAtMs) {
       if (atMs < limitMs) memberHeardAtMs.delete(id);
     }
@@ -113,7 +117,7 @@
       rest.add(ofRegion);
       rest.add(ofRegions);
       rest.add(ofMembers.get(id) ?? [], -1);
-      const vms = pool.countHeard() - 1;
+      const vms = pool.countReachable() - 1;
       tell(id, [id], { scope: "rest", vms, usage: rest.list() });
     }
     for (const other of parts.getTopology().hubs.keys()) {
@@ -127,12 +131,12 @@
   }
 
   function share(): void {
-    if (!parts.isNeeded()) return;
-    const own = limiter.takeNews();
+    if (!parts.hasLimits()) return;
+    const own = limiter.takeUsage();
     if (isRelay()) return relayOn(own);
-    const news: UsageNews = { scope: "vm", vms: 1, usage: own };
+    const news: UsageUpdate = { scope: "vm", vms: 1, usage: own };
     if (parts.getTopology().isFullMesh) {
-      return tell("all", parts.listOthers().map(({ id }) => id), news);
+      return tell("all", parts.listPeers().map(({ id }) => id), news);
     }
     const relay = findRelay(parts.getTopology(), self.region);
     if (relay !== undefined) tell(relay, [relay], news);
@@ -169,7 +173,7 @@
     receive(from, { scope, vms, usage }) {
       if (!isExpected(from, scope)) return;
       limiter.receive(usage);
-      pool.noteHeard(scope === "region" ? from.region : from.id, vms);
+      pool.recordHeartbeat(scope === "region" ? from.region : from.id, vms);
       if (!isRelay()) return;
       if (scope === "vm") receiveOfMember(from.id, usage);
       else ofRegions.push(...usage);
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -153,8 +153,8 @@
 test("a rate limit of a server is known to all VMs of a large fleet", async () => {
   const { vms, others, stop } = await startFleet();
   const [told] = others;
-  told.rateLimits.note("1", 3.5);
-  told.mesh.tellServerRateLimits(told.rateLimits.takeNews());
+  told.rateLimits.record("1", 3.5);
+  told.mesh.tellServerRateLimits(told.rateLimits.takeUpdates());
   await waitUntil(() =>
     vms.every(({ rateLimits }) => rateLimits.getRatePerS("1") === 3.5)
   );
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -13,7 +13,7 @@
 } from "../news/types.ts";
 import type { Knowledge } from "../news/knowledge.ts";
 import type { Clock } from "../runtime/clock.ts";
-import type { RateLimitNews } from "../servers/rate_limits.ts";
+import type { RateLimitUpdate } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createDialing } from "./dialing.ts";
@@ -67,7 +67,7 @@
   /** Passes facts on to every VM that is linked. */
   passOn(items: NewsItem[]): void;
   /** Tells every VM that is linked of rate limits of servers. */
-  tellServerRateLimits(rates: RateLimitNews[]): void;
+  tellServerRateLimits(rates: RateLimitUpdate[]): void;
   /** Tells every VM that this one read a topic from its source. */
   noteRead(topic: SourceTopic): void;
   /** Tells every VM how this one is, now. */
--- a/src/members/messages.ts
+++ b/src/members/messages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as z from "zod";
-import { usageSchema } from "../limits/usage_form.ts";
+import { usageSchema } from "../limits/usage_encoding.ts";
 import { newsItemSchema } from "../news/schema.ts";
 
 const MAX_MEMBERS = 4_096;
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import type { Activity, ActivityScope } from "../activity/types.ts";
-import { unpackUsage } from "../limits/usage_form.ts";
-import type { UsageNews } from "../limits/usage_sharing.ts";
+import { decodeUsage } from "../limits/usage_encoding.ts";
+import type { UsageUpdate } from "../limits/usage_sharing.ts";
 import type { NewsBoard } from "../news/board.ts";
 import {
   CONFIGURATION_KEY,
@@ -15,7 +15,7 @@
   type Topic,
 } from "../news/types.ts";
 import { packNews, unpackNews } from "../news/wire_form.ts";
-import type { RateLimitNews } from "../servers/rate_limits.ts";
+import type { RateLimitUpdate } from "../servers/rate_limits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 import type { VmMessage } from "./messages.ts";
@@ -30,9 +30,9 @@
     activity: Activity,
   ) => void;
   /** Told of what client accounts used at other VMs. */
-  onUsage: (from: VmIdentity, news: UsageNews) => void;
+  onUsage: (from: VmIdentity, news: UsageUpdate) => void;
   /** Told of what other VMs sent to servers with a rate limit. */
-  onServerUsage: (from: VmIdentity, news: UsageNews) => void;
+  onServerUsage: (from: VmIdentity, news: UsageUpdate) => void;
   /**
    * Told of rate limits of servers.
    *
@@ -40,8 +40,8 @@
    */
   onServerRateLimits: (
     from: VmIdentity,
-    rates: RateLimitNews[],
-  ) => RateLimitNews[];
+    rates: RateLimitUpdate[],
+  ) => RateLimitUpdate[];
 }
 
 type NewsMessage = Extract<VmMessage, { kind: "news" }>;
@@ -129,7 +129,7 @@
   function receiveRateLimits(
     link: VmLink,
     sender: VmIdentity,
-    rates: RateLimitNews[],
+    rates: RateLimitUpdate[],
   ): void {
     const news = parts.onServerRateLimits(sender, rates);
     if (news.length === 0) return;
@@ -145,8 +145,8 @@
       VmMessage,
       { kind: "usage" | "server_usage" }
     >,
-  ): UsageNews {
-    return { scope, vms, usage: unpackUsage(usage) };
+  ): UsageUpdate {
+    return { scope, vms, usage: decodeUsage(usage) };
   }
 
   return {
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -140,7 +140,7 @@
 ): Choice | undefined {
   const first = alive[0];
   if (first === undefined || first.coldUntilMs <= nowMs) return undefined;
-  const use = first.load.getUse();
+  const use = first.load.getUtilization();
   if (use >= 1) return undefined;
   const { id } = first.listed;
   if (!coldLimit.take(id, placement.coldRatePerS, first.region)) {
@@ -185,7 +185,7 @@
   let best: ServerChoice | undefined;
   let bestCost = Infinity;
   servers.slice(0, KNOWING_CIRCLE).forEach((server, rank) => {
-    const use = server.load.getUse();
+    const use = server.load.getUtilization();
     const isKnown = placement.knowsObject(server.listed.id);
     if (use >= getMaxUse(server, placement, isKnown)) return;
     if (rank >= CIRCLE && !isKnown) return;
--- a/src/placement/choose_test.ts
+++ b/src/placement/choose_test.ts
@@ -84,8 +84,8 @@
   const { clock, servers } = startFour();
   const tried = new Set(["0"]);
   assert.is(idOf(choose(servers, clock, { tried })), "1");
-  servers[1].health.note("unreachable");
-  servers[1].health.note("unreachable");
+  servers[1].health.recordOutcome("unreachable");
+  servers[1].health.recordOutcome("unreachable");
   assert.is(idOf(choose(servers, clock, { tried })), "2");
 });
 
@@ -130,15 +130,17 @@
 
 test("a server that fails a third of its requests is passed over", () => {
   const { clock, servers } = startFour();
-  for (let count = 0; count < 6; count++) servers[0].health.note("failed");
+  for (let count = 0; count < 6; count++) {
+    servers[0].health.recordOutcome("failed");
+  }
   assert.is(idOf(choose(servers, clock)), "1");
 });
 
 test("with every server kept out, one is tried all the same", () => {
   const { clock, servers } = startFour();
   for (const server of servers) {
-    server.health.note("unreachable");
-    server.health.note("unreachable");
+    server.health.recordOutcome("unreachable");
+    server.health.recordOutcome("unreachable");
   }
   assert.is(idOf(choose(servers, clock)), "0");
 });
@@ -214,9 +216,9 @@
 
 /** Asks any server of the region that has room, best ranked first. */
 function chooseScattering(servers: readonly KnownServer[]): Choice {
-  const server = servers.find(({ load }) => load.getUse() < 2);
+  const server = servers.find(({ load }) => load.getUtilization() < 2);
   if (server === undefined) return { kind: "full" };
-  const use = server.load.getUse();
+  const use = server.load.getUtilization();
   return { kind: "server", server, rank: 0, use, isKnown: false };
 }
 
--- a/src/placement/figures_test.ts
+++ b/src/placement/figures_test.ts
@@ -45,11 +45,11 @@
   registry.apply(makeServerNews(makeServer("2", { coldLeftMs: 3_000 }), 2));
   assert.is(getSlots(), 8);
   const [{ health }] = registry.listUsable("s");
-  health.note("unreachable");
+  health.recordOutcome("unreachable");
   assert.is(getSlots(), 8);
-  health.note("unreachable");
+  health.recordOutcome("unreachable");
   assert.is(getSlots(), 4);
-  health.note("answered");
+  health.recordOutcome("answered");
   assert.is(getSlots(), 8);
 });
 
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -119,7 +119,7 @@
       const nowMs = clock.monotonicMs();
       const tookMs = nowMs - sentAtMs;
       pace.note(ROUTE, tookMs, use);
-      runTimes.note("s", tookMs);
+      runTimes.record("s", tookMs);
       if (use < 0.8) {
         const wasKnown = pace.wasKnown(ROUTE, tookMs);
         pace.noteRun(ROUTE, depth, tookMs);
@@ -128,7 +128,7 @@
         }
       }
       if (index < limited && nowMs >= LIMITED_AT_MS) {
-        rateLimits.note(listed.id, LIMIT_PER_S);
+        rateLimits.record(listed.id, LIMIT_PER_S);
       }
       if (sentAtMs < LIMITED_AT_MS) return;
       if (tookMs <= ROUTE.targetLatencyMs) inTime++;
--- a/src/servers/cold_limit.ts
+++ b/src/servers/cold_limit.ts
@@ -41,7 +41,7 @@
 }
 
 /** What the limit needs to know of the VMs. */
-export interface ColdLimitParts {
+export interface ColdLimitOptions {
   clock: Clock;
   ownId: string;
   /** Ids of the VMs that run in a region, this one's included. */
@@ -52,7 +52,7 @@
  * @param parts Clock and VMs.
  * @returns A limit of which nothing is spent.
  */
-export function createColdLimit(parts: ColdLimitParts): ColdLimit {
+export function createColdLimit(parts: ColdLimitOptions): ColdLimit {
   const { clock, ownId, listVms } = parts;
   const buckets = new Map<string, Bucket>();
 
--- a/src/servers/connection_part.ts
+++ b/src/servers/connection_limit.ts
@@ -26,7 +26,7 @@
  * @param vms How many VMs there are.
  * @returns The part of one VM.
  */
-export function getConnectionPart(
+export function computeConnectionLimit(
   accepted: number | undefined,
   { serving, known }: VmCounts,
 ): number {
--- a/src/servers/end_check.ts
+++ b/src/servers/crash_check.ts
@@ -9,14 +9,14 @@
 import type { Dial } from "../runtime/dial.ts";
 
 /** A server that can be looked for. */
-export interface Addressed {
+export interface ServerAddress {
   id: string;
   /** `host:port`. */
   address: string;
 }
 
 /** What is behind a connection that ended without an answer. */
-export type EndVerdict =
+export type CrashVerdict =
   /** The server is gone. */
   | "ended"
   /** The server takes connections. */
@@ -25,12 +25,12 @@
   | "unclear";
 
 /** Looks after servers whose connections broke. */
-export interface EndCheck {
+export interface CrashCheck {
   /**
    * @param server A server on which a connection ended without an answer.
    * @returns What is behind it.
    */
-  check(server: Addressed): Promise<EndVerdict>;
+  check(server: ServerAddress): Promise<CrashVerdict>;
 }
 
 /** Twice the way to another region and back, of 70 ms. */
@@ -40,17 +40,17 @@
   accepted: "runs",
   refused: "ended",
   silent: "unclear",
-} as const satisfies Record<string, EndVerdict>;
+} as const satisfies Record<string, CrashVerdict>;
 
 /**
  * @param dial Opens connections.
  * @returns A check that looks once for all requests that a server drops at the
  *   same time.
  */
-export function createEndCheck(dial: Dial): EndCheck {
-  const running = new Map<string, Promise<EndVerdict>>();
+export function createCrashCheck(dial: Dial): CrashCheck {
+  const running = new Map<string, Promise<CrashVerdict>>();
 
-  async function look({ id, address }: Addressed): Promise<EndVerdict> {
+  async function look({ id, address }: ServerAddress): Promise<CrashVerdict> {
     const result = await dial(address, DIAL_TIMEOUT_MS);
     running.delete(id);
     return VERDICTS[result];
--- a/src/servers/end_check_test.ts
+++ b/src/servers/crash_check_test.ts
@@ -3,12 +3,12 @@
 import { makeServer } from "../gateway/fixture.ts";
 import { dial, type DialResult } from "../runtime/dial.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
-import { createEndCheck } from "./end_check.ts";
+import { createCrashCheck } from "./crash_check.ts";
 
 test("a server that refuses connections ended, one that takes them runs", async () => {
   const http = await listen(createRouter(), "127.0.0.1:0");
   const server = makeServer("1", { address: http.address });
-  const endCheck = createEndCheck(dial);
+  const endCheck = createCrashCheck(dial);
   assert.is(await endCheck.check(server), "runs");
   await http.close();
   assert.is(await endCheck.check(server), "ended");
@@ -17,7 +17,7 @@
 test("silence tells nothing, and all that was cut asks once", async () => {
   let dials = 0;
   const answers: ((result: DialResult) => void)[] = [];
-  const endCheck = createEndCheck(() => {
+  const endCheck = createCrashCheck(() => {
     dials++;
     return new Promise((resolve) => void answers.push(resolve));
   });
--- a/src/servers/draining_starts.ts
+++ b/src/servers/draining_instances.ts
@@ -9,7 +9,7 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /** Starts that drain. */
-export interface DrainingStarts {
+export interface DrainingInstances {
   /**
    * @param start The start of a server.
    * @returns Whether this is new.
@@ -28,7 +28,7 @@
  * @param clock The clock.
  * @returns A set without starts.
  */
-export function createDrainingStarts(clock: Clock): DrainingStarts {
+export function createDrainingInstances(clock: Clock): DrainingInstances {
   /** When each was added, the oldest first. */
   const addedAtMs = new Map<string, number>();
 
--- a/src/servers/health.ts
+++ b/src/servers/health.ts
@@ -20,12 +20,12 @@
 /** What this VM believes of one server's health. */
 export interface ServerHealth {
   /** Notes the end of a request. */
-  note(outcome: ServerOutcome): void;
+  recordOutcome(outcome: ServerOutcome): void;
   /**
    * @param sinceMs A time on the monotonic clock.
    * @returns Whether anything came from the server since then.
    */
-  wasHeardSince(sinceMs: number): boolean;
+  hasRespondedSince(sinceMs: number): boolean;
   /** @returns Whether it is kept out of the choice for now. */
   isEjected(): boolean;
   /** @returns Whether it was kept out and has not answered since. */
@@ -74,8 +74,8 @@
   }
 
   return {
-    note,
-    wasHeardSince: (sinceMs) => heardAtMs >= sinceMs,
+    recordOutcome: note,
+    hasRespondedSince: (sinceMs) => heardAtMs >= sinceMs,
     isEjected: () => clock.monotonicMs() < ejectedUntilMs,
     isDown: () => ejections > 0,
     getFailureShare: () => failureShare,
--- a/src/servers/load.ts
+++ b/src/servers/load.ts
@@ -26,7 +26,7 @@
   /** @returns Requests there from all VMs, running and waiting. */
   getTotal(): number;
   /** @returns Requests there for each slot. */
-  getUse(): number;
+  getUtilization(): number;
   /** @returns Requests that it runs at once. */
   getSlots(): number;
 }
@@ -34,9 +34,9 @@
 /** Where else a load is known from. */
 export interface LoadSources {
   /** Requests there that other VMs tell of. */
-  getTold: () => number;
+  getReported: () => number;
   /** How long requests at such servers last; undefined before the first. */
-  getRunMs: () => number | undefined;
+  getMeanRunMs: () => number | undefined;
 }
 
 /** Weight of a report against the ones before it; reports swing by chance. */
@@ -72,13 +72,13 @@
     const ageMs = clock.monotonicMs() - reportedAtMs;
     const halfLifeMs = Math.max(
       MIN_REPORT_HALF_LIFE_MS,
-      sources.getRunMs() ?? 0,
+      sources.getMeanRunMs() ?? 0,
     );
     return untold * 0.5 ** (ageMs / halfLifeMs);
   }
 
   function getTotal(): number {
-    return Math.max(own, own + sources.getTold() + getUntold());
+    return Math.max(own, own + sources.getReported() + getUntold());
   }
 
   return {
@@ -87,14 +87,14 @@
     report(report) {
       if (report.slots > 0) slots = report.slots;
       const total = report.running + report.waiting;
-      const told = sources.getTold();
+      const told = sources.getReported();
       const seen = Math.max(-told, total - own - told);
       untold = getUntold() * (1 - REPORT_WEIGHT) + seen * REPORT_WEIGHT;
       reportedAtMs = clock.monotonicMs();
     },
     getOwn: () => own,
     getTotal,
-    getUse: () => getTotal() / slots,
+    getUtilization: () => getTotal() / slots,
     getSlots: () => slots,
   };
 }
--- a/src/servers/permits.ts
+++ b/src/servers/permits.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { LimitedHolder, RateLimiter } from "../limits/limiter.ts";
+import type { LimitedSubject, RateLimiter } from "../limits/limiter.ts";
 import type { Random } from "../runtime/random.ts";
 import type { ServerBackoffs } from "./backoffs.ts";
 import type { RunTimes } from "./run_times.ts";
@@ -15,7 +15,7 @@
 import type { ListedServer } from "./types.ts";
 
 /** How a request ended for which a permit was taken. */
-export type PermitEnd =
+export type PermitOutcome =
   | "taken"
   /** The server did not run it. */
   | "turned_away"
@@ -39,11 +39,11 @@
    * @param server A server for which a permit was taken.
    * @returns Whether the permit still holds.
    */
-  holds(server: ListedServer): boolean;
+  isValid(server: ListedServer): boolean;
   /** Notes how a request ended for which a permit was taken. */
-  end(server: ListedServer, end: PermitEnd): void;
+  end(server: ListedServer, end: PermitOutcome): void;
   /** @returns Slots that a server can be used with, by its rate limit. */
-  getSlots(server: ListedServer): number;
+  getEffectiveSlots(server: ListedServer): number;
   /**
    * @param servers Servers that gave no permit.
    * @returns When one of them may, in ms.
@@ -54,7 +54,7 @@
 }
 
 /** What permits need. */
-export interface ServerPermitParts {
+export interface ServerPermitOptions {
   rateLimits: Pick<ServerRateLimits, "getRatePerS" | "describe">;
   /** Spends rates with all other VMs. */
   limiter: RateLimiter;
@@ -75,10 +75,10 @@
  * @param ratePerS Requests a second that it takes.
  * @returns The server as the holder of a limit.
  */
-export function toLimitHolder(
+export function toLimitSubject(
   server: string,
   ratePerS: number,
-): LimitedHolder {
+): LimitedSubject {
   return { name: server, ratePerS, burst: ratePerS * BURST_S };
 }
 
@@ -87,17 +87,17 @@
  * @returns Permits for all servers.
  */
 export function createServerPermits(
-  { rateLimits, limiter, backoffs, random, runTimes }: ServerPermitParts,
+  { rateLimits, limiter, backoffs, random, runTimes }: ServerPermitOptions,
 ): ServerPermits {
   function takeOfRate(id: string): boolean {
     const ratePerS = rateLimits.getRatePerS(id);
     if (ratePerS === undefined) return true;
-    return limiter.take(toLimitHolder(id, ratePerS)).kind === "within";
+    return limiter.take(toLimitSubject(id, ratePerS)).kind === "within";
   }
 
   function giveBack(id: string): void {
     const ratePerS = rateLimits.getRatePerS(id);
-    if (ratePerS !== undefined) limiter.giveBack(toLimitHolder(id, ratePerS));
+    if (ratePerS !== undefined) limiter.refund(toLimitSubject(id, ratePerS));
   }
 
   function getOwnWaitMs({ id }: ListedServer): number {
@@ -114,15 +114,15 @@
       if (!isTaken) backoffs.end(id, false);
       return isTaken;
     },
-    holds: ({ id }) => backoffs.getLeftMs(id) === 0,
+    isValid: ({ id }) => backoffs.getLeftMs(id) === 0,
     end({ id }, end) {
       if (end === "not_sent") giveBack(id);
       backoffs.end(id, end === "taken");
     },
-    getSlots({ id, service, slots }) {
+    getEffectiveSlots({ id, service, slots }) {
       if (backoffs.getLeftMs(id) > 0) return 0;
       const ratePerS = rateLimits.getRatePerS(id);
-      const runMs = runTimes.getMs(service);
+      const runMs = runTimes.getMeanMs(service);
       if (ratePerS === undefined || runMs === undefined) return slots;
       return Math.min(slots, ratePerS * runMs / 1_000);
     },
--- a/src/servers/permits_test.ts
+++ b/src/servers/permits_test.ts
@@ -12,7 +12,7 @@
 function startLimited(ratePerS: number) {
   const clock = createFakeClock();
   const runTimes = createRunTimes();
-  runTimes.note(SERVER.service, 100);
+  runTimes.record(SERVER.service, 100);
   const { permits, rateLimits, backoffs } = createServerLimits({
     clock,
     log: createSilentLog(),
@@ -21,7 +21,7 @@
     countKnown: () => 1,
     runTimes,
   });
-  rateLimits.note(SERVER.id, ratePerS);
+  rateLimits.record(SERVER.id, ratePerS);
   const takeFor = (durationMs: number, isSent = true) => {
     let taken = 0;
     for (let ms = 0; ms < durationMs; ms += 10) {
@@ -30,7 +30,7 @@
       taken++;
       permits.end(SERVER, isSent ? "taken" : "not_sent");
       // The server advertises its limit with each answer.
-      rateLimits.note(SERVER.id, ratePerS);
+      rateLimits.record(SERVER.id, ratePerS);
     }
     return taken;
   };
@@ -56,8 +56,8 @@
 });
 
 test("a rate limit leaves as many slots as its requests take up", () => {
-  assert.is(startLimited(4).permits.getSlots(SERVER), 0.4);
-  assert.is(startLimited(400).permits.getSlots(SERVER), 4);
+  assert.is(startLimited(4).permits.getEffectiveSlots(SERVER), 0.4);
+  assert.is(startLimited(400).permits.getEffectiveSlots(SERVER), 4);
 });
 
 test("callers that find no permit come back when there may be one", () => {
@@ -68,11 +68,11 @@
 
 test("a server in backoff has no slots, and gets nothing that waits for it", () => {
   const { permits, backoffs } = startLimited(4);
-  assert.ok(permits.holds(SERVER));
+  assert.ok(permits.isValid(SERVER));
   backoffs.begin(SERVER.id, 3_000);
-  assert.not(permits.holds(SERVER));
+  assert.not(permits.isValid(SERVER));
   assert.not(permits.take(SERVER));
-  assert.is(permits.getSlots(SERVER), 0);
+  assert.is(permits.getEffectiveSlots(SERVER), 0);
   assert.is(permits.getWaitMs([SERVER]), 3_375);
   assert.is(permits.describe(SERVER).backoffMs, 3_000);
 });
@@ -82,7 +82,7 @@
   backoffs.begin(SERVER.id, 50);
   const taken = takeFor(10_000);
   assert.ok(taken > 30, `${taken}`);
-  assert.ok(permits.holds(SERVER));
+  assert.ok(permits.isValid(SERVER));
 });
 
 test.run();
--- a/src/servers/rate_limits.ts
+++ b/src/servers/rate_limits.ts
@@ -12,7 +12,7 @@
 import type { Log } from "../telemetry/log.ts";
 
 /** What a VM tells others of one server. */
-export interface RateLimitNews {
+export interface RateLimitUpdate {
   /** The start of the server. */
   server: string;
   /** Absent where the limit was lifted. */
@@ -41,7 +41,7 @@
    * @param server The start of the server.
    * @param ratePerS The limit that it carried, if any.
    */
-  note(server: string, ratePerS: number | undefined): void;
+  record(server: string, ratePerS: number | undefined): void;
   /**
    * Takes in what another VM told.
    *
@@ -49,9 +49,9 @@
    * @param news What it told.
    * @returns What is new here, to be passed on.
    */
-  receive(vm: string, news: readonly RateLimitNews[]): RateLimitNews[];
+  receive(vm: string, news: readonly RateLimitUpdate[]): RateLimitUpdate[];
   /** @returns What other VMs have to know since the last call. */
-  takeNews(): RateLimitNews[];
+  takeUpdates(): RateLimitUpdate[];
   /** @returns Requests a second from all VMs; undefined where there is no limit. */
   getRatePerS(server: string): number | undefined;
   /** @returns A server's limit, its age and who was told; for a log line. */
@@ -63,7 +63,7 @@
 }
 
 /** What rate limits need. */
-export interface RateLimitParts {
+export interface RateLimitOptions {
   clock: Clock;
   log: Log;
   ownId: string;
@@ -111,7 +111,7 @@
  * @returns Rate limits of which none was advertised.
  */
 export function createServerRateLimits(
-  { clock, log, ownId }: RateLimitParts,
+  { clock, log, ownId }: RateLimitOptions,
 ): ServerRateLimits {
   const entries = new Map<string, Entry>();
 
@@ -207,7 +207,7 @@
   /** @returns Whether it is newer than what is known. */
   function receiveOne(
     vm: string,
-    { server, ratePerS, ageMs }: RateLimitNews,
+    { server, ratePerS, ageMs }: RateLimitUpdate,
   ): boolean {
     const nowMs = clock.monotonicMs();
     const atMs = nowMs - ageMs;
@@ -238,7 +238,7 @@
     };
   }
 
-  function toNews(entry: Entry): RateLimitNews {
+  function toNews(entry: Entry): RateLimitUpdate {
     const { server, advertisedPerS, advertisedAtMs, liftedAtMs } = entry;
     const nowMs = clock.monotonicMs();
     entry.isNews = false;
@@ -251,12 +251,12 @@
   }
 
   return {
-    note(server, ratePerS) {
+    record(server, ratePerS) {
       if (ratePerS === undefined) noteLifted(server);
       else noteAdvertised(server, ratePerS);
     },
     receive: (vm, news) => news.filter((one) => receiveOne(vm, one)),
-    takeNews() {
+    takeUpdates() {
       sweep();
       return [...entries.values()].filter(({ isNews }) => isNews).map(toNews);
     },
--- a/src/servers/registry.ts
+++ b/src/servers/registry.ts
@@ -11,7 +11,7 @@
 import { hashToUint32 } from "../runtime/hash.ts";
 import { createServerHealth, type ServerHealth } from "./health.ts";
 import { createServerLoad, type ServerLoad } from "./load.ts";
-import { createDrainingStarts } from "./draining_starts.ts";
+import { createDrainingInstances } from "./draining_instances.ts";
 import type { RunTimes } from "./run_times.ts";
 import type { ListedServer } from "./types.ts";
 
@@ -63,7 +63,7 @@
 }
 
 /** What a registry needs. */
-export interface RegistryParts {
+export interface RegistryOptions {
   clock: Clock;
   log: Log;
   /** Region of each failure domain. */
@@ -88,13 +88,13 @@
  * @param parts What the registry needs.
  * @returns A registry with no servers.
  */
-export function createServerRegistry(parts: RegistryParts): ServerRegistry {
+export function createServerRegistry(parts: RegistryOptions): ServerRegistry {
   const { clock, log, regions, running, runTimes } = parts;
   /** By the name in the register. */
   const servers = new Map<string, KnownServer>();
   const regionByKey = new Map<number, string>();
   const evacuated = new Set<string>();
-  const drainingStarts = createDrainingStarts(clock);
+  const drainingStarts = createDrainingInstances(clock);
   const usableByService = new Map<string, KnownServer[]>();
   let revision = 0;
   let firstListedAtMs: number | undefined;
@@ -134,8 +134,8 @@
       listed,
       region,
       load: createServerLoad(listed.slots, clock, {
-        getTold: () => running.getTotal(listed.id),
-        getRunMs: () => runTimes.getMs(listed.service),
+        getReported: () => running.getTotal(listed.id),
+        getMeanRunMs: () => runTimes.getMeanMs(listed.service),
       }),
       health: createServerHealth(clock),
       coldUntilMs: toColdUntil(listed.coldLeftMs),
@@ -249,7 +249,7 @@
     listOwnRequests(minRunMs) {
       const pairs: RequestPairs = [];
       for (const { listed, load } of servers.values()) {
-        const isLong = (runTimes.getMs(listed.service) ?? 0) >= minRunMs;
+        const isLong = (runTimes.getMeanMs(listed.service) ?? 0) >= minRunMs;
         if (!isLong || load.getOwn() === 0) continue;
         pairs.push(hashToUint32(listed.id), load.getOwn());
       }
--- a/src/servers/run_times.ts
+++ b/src/servers/run_times.ts
@@ -7,9 +7,9 @@
 /** Mean durations, by service. */
 export interface RunTimes {
   /** Notes a request that was answered. */
-  note(service: string, tookMs: number): void;
+  record(service: string, tookMs: number): void;
   /** @returns How long requests last; undefined before the first answer. */
-  getMs(service: string): number | undefined;
+  getMeanMs(service: string): number | undefined;
 }
 
 /** Weight of one duration; about the last 30 count. */
@@ -19,10 +19,10 @@
 export function createRunTimes(): RunTimes {
   const means = new Map<string, number>();
   return {
-    note(service, tookMs) {
+    record(service, tookMs) {
       const before = means.get(service) ?? tookMs;
       means.set(service, before + WEIGHT * (tookMs - before));
     },
-    getMs: (service) => means.get(service),
+    getMeanMs: (service) => means.get(service),
   };
 }
--- a/src/servers/servers_test.ts
+++ b/src/servers/servers_test.ts
@@ -8,7 +8,7 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createColdLimit } from "./cold_limit.ts";
 import { createServerHealth } from "./health.ts";
-import { createDrainingStarts } from "./draining_starts.ts";
+import { createDrainingInstances } from "./draining_instances.ts";
 import { createServerLoad } from "./load.ts";
 import { makeVersion } from "../news/version.ts";
 
@@ -62,7 +62,7 @@
 
 test("starts that drain are forgotten after ten minutes, or beyond 4,096", () => {
   const clock = createFakeClock();
-  const draining = createDrainingStarts(clock);
+  const draining = createDrainingInstances(clock);
   assert.ok(draining.add("1"));
   assert.not(draining.add("1"));
   clock.advance(599_000);
@@ -81,8 +81,8 @@
   registry.apply(makeServerNews(former, 1));
   const [before] = registry.listUsable("s");
   before.load.begin();
-  before.health.note("unreachable");
-  before.health.note("unreachable");
+  before.health.recordOutcome("unreachable");
+  before.health.recordOutcome("unreachable");
   registry.markReplaced("i-1@1");
   const next = { ...former, id: "i-1@2", coldLeftMs: 3_000 };
   registry.apply(makeServerNews(next, 2));
@@ -152,8 +152,8 @@
 test("load adds this VM's requests to those that others were seen to have", () => {
   const clock = createFakeClock();
   const load = createServerLoad(4, clock, {
-    getTold: () => 0,
-    getRunMs: () => undefined,
+    getReported: () => 0,
+    getMeanRunMs: () => undefined,
   });
   load.begin();
   load.begin();
@@ -168,8 +168,8 @@
 test("what a report tells of lasts as long as requests do", () => {
   const clock = createFakeClock();
   const load = createServerLoad(9, clock, {
-    getTold: () => 0,
-    getRunMs: () => 4_000,
+    getReported: () => 0,
+    getMeanRunMs: () => 4_000,
   });
   load.report({ running: 8, waiting: 0, slots: 9 });
   assert.is(load.getTotal(), 4);
@@ -181,8 +181,8 @@
   const clock = createFakeClock();
   let told = 3;
   const load = createServerLoad(4, clock, {
-    getTold: () => told,
-    getRunMs: () => 2_000,
+    getReported: () => told,
+    getMeanRunMs: () => 2_000,
   });
   load.begin();
   assert.is(load.getTotal(), 4);
@@ -197,8 +197,8 @@
 test("what was told of requests that had ended is taken off", () => {
   const clock = createFakeClock();
   const load = createServerLoad(4, clock, {
-    getTold: () => 3,
-    getRunMs: () => 2_000,
+    getReported: () => 3,
+    getMeanRunMs: () => 2_000,
   });
   load.begin();
   for (let count = 0; count < 8; count++) {
@@ -210,13 +210,13 @@
 test("a server that can't be reached twice is kept out for a while", () => {
   const clock = createFakeClock();
   const health = createServerHealth(clock);
-  health.note("unreachable");
+  health.recordOutcome("unreachable");
   assert.not(health.isEjected());
-  health.note("unreachable");
+  health.recordOutcome("unreachable");
   assert.ok(health.isEjected());
   clock.advance(501);
   assert.not(health.isEjected());
-  health.note("unreachable");
+  health.recordOutcome("unreachable");
   clock.advance(501);
   assert.ok(health.isEjected(), "the second time lasts longer");
 });
@@ -224,17 +224,17 @@
 test("a server is heard by whatever it says, not by silence", () => {
   const clock = createFakeClock();
   const health = createServerHealth(clock);
-  health.note("unreachable");
-  assert.not(health.wasHeardSince(0));
+  health.recordOutcome("unreachable");
+  assert.not(health.hasRespondedSince(0));
   clock.advance(10);
-  health.note("shed");
-  assert.ok(health.wasHeardSince(10));
-  assert.not(health.wasHeardSince(11));
+  health.recordOutcome("shed");
+  assert.ok(health.hasRespondedSince(10));
+  assert.not(health.hasRespondedSince(11));
 });
 
 test("being full is no sign of a fault", () => {
   const health = createServerHealth(createFakeClock());
-  for (let count = 0; count < 50; count++) health.note("shed");
+  for (let count = 0; count < 50; count++) health.recordOutcome("shed");
   assert.is(health.getFailureShare(), 0);
   assert.not(health.isEjected());
 });
--- a/src/serving/fixture.ts
+++ b/src/serving/fixture.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Buffer } from "node:buffer";
-import { EqualParts } from "../limits/equal_parts.ts";
+import { EqualShareLimiter } from "../limits/equal_share_limiter.ts";
 import {
   type CallerCheck,
   createCallerCheck,
@@ -23,10 +23,10 @@
     log: createSilentLog(),
     random: () => 0,
     bounds: {
-      configurationMs: 2_000,
+      configurationDeadlineMs: 2_000,
       limitMargin: { windowMs: 5_000, ratio: 0, allowance: 0 },
     },
-    limiter: new EqualParts(clock, () => 1),
+    limiter: new EqualShareLimiter(clock, () => 1),
     getKnowledgeAgeMs: () => 0,
   });
 }
@@ -36,9 +36,9 @@
   return {
     isRateLimited: () => false,
     take: () => true,
-    holds: () => true,
+    isValid: () => true,
     end() {},
-    getSlots: ({ slots }) => slots,
+    getEffectiveSlots: ({ slots }) => slots,
     getWaitMs: () => 0,
     describe: ({ id }) => ({ server: id }),
   };
--- a/src/serving/flow.ts
+++ b/src/serving/flow.ts
@@ -16,9 +16,9 @@
 import type { Splitter } from "../routing/split.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Random } from "../runtime/random.ts";
-import type { EndCheck } from "../servers/end_check.ts";
+import type { CrashCheck } from "../servers/crash_check.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
-import type { PermitEnd, ServerPermits } from "../servers/permits.ts";
+import type { PermitOutcome, ServerPermits } from "../servers/permits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { DemandMeter } from "./demand.ts";
 import type { Attempt, Exchange } from "./exchange.ts";
@@ -49,7 +49,7 @@
   pace: PaceTable;
   memory: ObjectMemory;
   exchange: Exchange;
-  endCheck: EndCheck;
+  endCheck: CrashCheck;
   suspects: Suspects;
   permits: ServerPermits;
   /** Limits of client accounts. */
@@ -93,7 +93,7 @@
   return fallback !== undefined || lost !== undefined;
 }
 
-function toPermitEnd(result: ExchangeResult): PermitEnd {
+function toPermitEnd(result: ExchangeResult): PermitOutcome {
   if (result.kind === "lost") return "lost";
   if (result.kind === "not_run") return "turned_away";
   if (result.kind !== "answer") return "not_sent";
@@ -189,7 +189,7 @@
       parts.limiter.charge(request.account);
     }
     const startedAtMs = clock.monotonicMs();
-    const useAtStart = server.load.getUse();
+    const useAtStart = server.load.getUtilization();
     progress.lastUse = useAtStart;
     const depth = progress.hasObject
       ? memory.note(server.listed.id, nameObject(progress))
@@ -199,7 +199,7 @@
       server.listed,
       request,
       remainingMs,
-      () => registry.isUsable(server) && parts.permits.holds(server.listed),
+      () => registry.isUsable(server) && parts.permits.isValid(server.listed),
     );
     const leave = () => running.abort("client_left");
     request.signal.addEventListener("abort", leave);
--- a/src/serving/front.ts
+++ b/src/serving/front.ts
@@ -154,10 +154,10 @@
     );
     if (parts.isOverloaded()) await passTurns();
     if (body === "cut" || hasLeft(message)) {
-      return callerCheck.giveBack(checked);
+      return callerCheck.refund(checked);
     }
     if (body === "too_large") {
-      callerCheck.giveBack(checked);
+      callerCheck.refund(checked);
       return sendOwn(response, 413, {});
     }
     const result = await flow.serve({
@@ -173,7 +173,7 @@
       arrivedAtMs,
       signal: watchClient(response),
     });
-    if (result.kind === "refused") callerCheck.giveBack(checked);
+    if (result.kind === "refused") callerCheck.refund(checked);
     end(result);
   }
 
--- a/src/serving/observing.ts
+++ b/src/serving/observing.ts
@@ -28,7 +28,7 @@
   memory: ObjectMemory;
   retention: Retention;
   runTimes: RunTimes;
-  rateLimits: Pick<ServerRateLimits, "note">;
+  rateLimits: Pick<ServerRateLimits, "record">;
   registry: Pick<ServerRegistry, "markDraining">;
   backoffs: Pick<ServerBackoffs, "begin">;
 }
@@ -77,8 +77,8 @@
     const { result, tookMs } = end;
     noteSignals(server, result);
     if (result.kind === "answer") noteAnswer(progress, server, end);
-    if (result.kind === "not_run") server.health.note("shed");
-    if (result.kind === "not_sent") server.health.note("unreachable");
+    if (result.kind === "not_run") server.health.recordOutcome("shed");
+    if (result.kind === "not_sent") server.health.recordOutcome("unreachable");
     if (result.kind === "lost") noteLoss(server, result.reason, tookMs);
     if (
       progress.hasObject && end.depth === undefined && !hasBegun(end)
@@ -105,7 +105,7 @@
     if (result.kind === "not_run" && result.reason === "other_server") return;
     const { load, limitPerS, isDraining, backoffMs } = result.signals;
     if (load !== undefined) server.load.report(load);
-    parts.rateLimits.note(server.listed.id, limitPerS);
+    parts.rateLimits.record(server.listed.id, limitPerS);
     if (isDraining) parts.registry.markDraining(server);
     if (backoffMs !== undefined) {
       parts.backoffs.begin(server.listed.id, backoffMs);
@@ -120,15 +120,15 @@
     const { result, tookMs, useAtStart } = end;
     if (result.kind !== "answer") return;
     if (result.signals.backoffMs !== undefined) {
-      return server.health.note("shed");
+      return server.health.recordOutcome("shed");
     }
     if (result.answer.status >= FIRST_SERVER_ERROR) {
-      return server.health.note("failed");
+      return server.health.recordOutcome("failed");
     }
-    server.health.note("answered");
+    server.health.recordOutcome("answered");
     const { route } = progress.request;
     pace.note(route, tookMs, useAtStart);
-    runTimes.note(progress.service, tookMs);
+    runTimes.record(progress.service, tookMs);
     if (progress.hasObject && useAtStart < UNLOADED_USE) {
       noteRecall(progress, end);
     }
@@ -162,10 +162,10 @@
     tookMs: number,
   ): void {
     if (reason === "client_left" || reason === "set_aside") return;
-    if (reason !== "timeout") return server.health.note("failed");
+    if (reason !== "timeout") return server.health.recordOutcome("failed");
     const sentAtMs = clock.monotonicMs() - tookMs;
-    if (server.health.wasHeardSince(sentAtMs)) return;
-    server.health.note("unreachable");
+    if (server.health.hasRespondedSince(sentAtMs)) return;
+    server.health.recordOutcome("unreachable");
   }
 
   return { note };
--- a/src/serving/observing_test.ts
+++ b/src/serving/observing_test.ts
@@ -32,7 +32,7 @@
     memory,
     retention,
     runTimes: createRunTimes(),
-    rateLimits: { note() {} },
+    rateLimits: { record() {} },
     backoffs: { begin() {} },
     registry,
   });
--- a/src/serving/placing.ts
+++ b/src/serving/placing.ts
@@ -162,7 +162,7 @@
     const nowMs = clock.monotonicMs();
     return ranking.rank(service, region, objectKey).some((server) =>
       server.coldUntilMs <= nowMs && !server.health.isEjected() &&
-      permits.holds(server.listed)
+      permits.isValid(server.listed)
     );
   }
 
