--- a/src/accounts/caller_check.ts
+++ b/src/accounts/caller_check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks callers: says who calls, whether that is within the account's limit,
- * and where the request may run.
+ * Checks callers: identifies the caller, applies the rate limit of its client
+ * account, and determines the regions in which the request may run.
  *
  * @module
  */
@@ -17,13 +17,13 @@
 import type { RateLimiter } from "../limits/limiter.ts";
 import type { AccountBounds, ClientAccount } from "./types.ts";
 
-/** What the check of callers needs. */
+/** Dependencies of `createCallerCheck`. */
 export interface CallerCheckOptions {
   log: Log;
   random: Random;
   bounds: AccountBounds;
   limiter: RateLimiter;
-  /** Proven age of what is known; infinite before the first proof. */
+  /** Proven age of the configuration; infinite before the first proof. */
   getKnowledgeAgeMs: () => number;
 }
 
@@ -33,11 +33,11 @@
   caller: Caller;
   /** Undefined where no account is needed. */
   account: ClientAccount | undefined;
-  /** Regions that may serve it; empty for all, undefined for none. */
+  /** Regions that may serve the request; empty for all, undefined for none. */
   homeRegions: readonly string[] | undefined;
 }
 
-/** What comes of a caller. */
+/** Result of the check of a caller. */
 export type CheckedCaller = AcceptedCaller | {
   kind: "rejected";
   result: ServeResult;
@@ -46,24 +46,27 @@
 /** Checks callers. */
 export interface CallerCheck {
   /**
+   * Identifies a caller and counts its request against its account's limit.
+   *
    * @param table The configuration in force.
    * @param route The route of the request.
-   * @param terms What its headers say.
-   * @returns Who calls, or how the request ends at once.
+   * @param metadata The request's metadata, from its headers.
+   * @returns The accepted caller, or the result to reject the request with.
    */
-  check(table: RouteTable, route: Route, terms: CallerTerms): CheckedCaller;
-  /** Takes back what was counted for a request that did not run. */
+  check(table: RouteTable, route: Route, metadata: CallerTerms): CheckedCaller;
+  /** Returns what was counted for a request that did not run. */
   refund(accepted: AcceptedCaller): void;
 }
 
 /**
- * @param parts What it needs.
+ * @param options Dependencies of the check.
  * @returns A check of callers.
  */
-export function createCallerCheck(parts: CallerCheckOptions): CallerCheck {
-  const { log, random, bounds, limiter } = parts;
+export function createCallerCheck(options: CallerCheckOptions): CallerCheck {
+  const { log, random, bounds, limiter } = options;
 
-  function takeWithin(
+  /** @returns The result to reject the request with, if it is over the limit. */
+  function applyLimit(
     account: ClientAccount,
     requestId: string | undefined,
   ): ServeResult | undefined {
@@ -73,21 +76,21 @@
     const { retryAfterMs } = admission;
     log.info(
       { requestId, account: name, ratePerS, burst, retryAfterMs },
-      "over the limit",
+      "client account over its rate limit",
     );
     return { kind: "limited", retryAfterMs };
   }
 
   return {
     check(table, route, { requestId, apiKey }) {
-      const knowledgeAgeMs = parts.getKnowledgeAgeMs();
+      const knowledgeAgeMs = options.getKnowledgeAgeMs();
       const { accounts, configuration } = table;
       const { isPublic } = route;
-      const found = identifyCaller(
+      const identification = identifyCaller(
         { accounts, isPublic, apiKey, knowledgeAgeMs },
         bounds,
       );
-      if (found.kind === "open") {
+      if (identification.kind === "open") {
         return {
           kind: "accepted",
           caller: { kind: accounts === undefined ? "no_accounts" : "anyone" },
@@ -95,9 +98,9 @@
           homeRegions: route.homeRegions,
         };
       }
-      if (found.kind === "account") {
-        const { account } = found;
-        const result = takeWithin(account, requestId);
+      if (identification.kind === "account") {
+        const { account } = identification;
+        const result = applyLimit(account, requestId);
         if (result !== undefined) return { kind: "rejected", result };
         return {
           kind: "accepted",
@@ -115,11 +118,11 @@
           showsKey: apiKey !== undefined,
           version: configuration.version,
           knowledgeAgeMs: Math.round(knowledgeAgeMs),
-          verdict: found.kind,
+          verdict: identification.kind,
         },
         "caller not identified",
       );
-      const result: ServeResult = found.kind === "unknown"
+      const result: ServeResult = identification.kind === "unknown"
         ? { kind: "unknown_caller" }
         : {
           kind: "refused",
--- a/src/accounts/directory.ts
+++ b/src/accounts/directory.ts
@@ -1,28 +1,28 @@
 /**
- * Finds the client account of a key in one configuration.
+ * Finds client accounts of a configuration, by API key or by name.
  *
  * @module
  */
 import { digestKey } from "./keys.ts";
 import type { ClientAccount } from "./types.ts";
 
-/** The accounts of one configuration. */
+/** Index of the client accounts of one configuration. */
 export interface AccountDirectory {
   /**
-   * @param apiKey The key that a caller showed.
-   * @returns The account that holds it, if any.
+   * @param apiKey The API key that a caller sent.
+   * @returns The account that the key belongs to, if any.
    */
   findByKey(apiKey: string): ClientAccount | undefined;
   /**
-   * @param name A name.
+   * @param name Name of an account.
    * @returns The account of that name, if any.
    */
   get(name: string): ClientAccount | undefined;
 }
 
 /**
- * @param accounts The accounts.
- * @returns Their directory.
+ * @param accounts The client accounts of a configuration.
+ * @returns An index of the accounts.
  */
 export function createAccountDirectory(
   accounts: readonly ClientAccount[],
--- a/src/accounts/identification.ts
+++ b/src/accounts/identification.ts
@@ -1,80 +1,78 @@
 /**
- * Says who calls, or why that can't be said now.
+ * Identifies the client account of a caller, or tells why that is impossible.
  *
- * A key that was taken away runs nothing later than a bound after that, on any
- * VM. A VM that is cut off can't hear of it, so what decides is how old its
- * knowledge is, not what it knows. A VM that knows itself to be behind can't
- * say truthfully either that a key is unknown.
+ * A revoked API key must be rejected by every VM after a deadline. A partitioned
+ * VM can't learn of the revocation, so the age of its configuration decides, not
+ * the content. For the same reason, a VM that knows its configuration to be out
+ * of date can't tell that a key is unknown.
  *
  * @module
  */
 import type { AccountDirectory } from "./directory.ts";
 import type { AccountBounds, ClientAccount } from "./types.ts";
 
-/** Who calls. */
+/** Result of identifying a caller. */
 export type Identification =
-  /** Nobody in particular: no account is needed. */
+  /** Any caller is accepted: no account is needed. */
   | { kind: "open" }
   | { kind: "account"; account: ClientAccount }
-  /** The key is missing, or no configuration holds it. */
+  /** The key is missing, or belongs to no account. */
   | { kind: "unknown" }
-  /** The key may have been added or taken away meanwhile. */
+  /** The key may have been added or revoked since the VM's configuration. */
   | { kind: "unproven" };
 
-/** What a caller shows, and what is known of it. */
+/** A caller's credentials, and what they are checked against. */
 export interface Credentials {
   /** Accounts of the configuration; undefined where it has none. */
   accounts: AccountDirectory | undefined;
   /** Whether the route is open to callers without an account. */
   isPublic: boolean;
-  /** Undefined where the caller shows no key, or none that can be read. */
+  /** Undefined where the caller sent no key, or a malformed one. */
   apiKey: string | undefined;
-  /** Proven age of what is known; infinite before the first proof. */
+  /** Proven age of the configuration; infinite before the first proof. */
   knowledgeAgeMs: number;
 }
 
 /**
- * Timers and the reading of clocks are a few ms late; more than that costs
- * callers of a VM that is cut off, and gains them nothing.
+ * Covers timers and clock readings that are a few ms late. A larger margin would
+ * only reject callers of a partitioned VM earlier.
  */
-const WITHDRAWAL_MARGIN_MS = 250;
+const REVOCATION_MARGIN_MS = 250;
 
 /**
- * @param credentials What the caller shows.
- * @param bounds How old knowledge may be.
- * @returns Who calls.
+ * @param credentials The caller's credentials and what they are checked against.
+ * @param bounds Deadlines that limit the age of the configuration.
+ * @returns The caller's account, or why there is none.
  */
 export function identifyCaller(
   { accounts, isPublic, apiKey, knowledgeAgeMs }: Credentials,
-  {
-    configurationDeadlineMs: configurationMs,
-    revocationDeadlineMs: withdrawalMs = Infinity,
-  }: AccountBounds,
+  { configurationDeadlineMs, revocationDeadlineMs = Infinity }: AccountBounds,
 ): Identification {
   if (accounts === undefined || isPublic) return { kind: "open" };
-  // No configuration, however new, knows a caller that shows no key.
+  // A caller without a key is unknown under any configuration.
   if (apiKey === undefined) return { kind: "unknown" };
   const account = accounts.findByKey(apiKey);
   if (account === undefined) {
-    const isBehind = knowledgeAgeMs > configurationMs;
+    const isBehind = knowledgeAgeMs > configurationDeadlineMs;
     return isBehind ? { kind: "unproven" } : { kind: "unknown" };
   }
-  const isTooOld = knowledgeAgeMs > withdrawalMs - WITHDRAWAL_MARGIN_MS;
+  const isTooOld = knowledgeAgeMs > revocationDeadlineMs - REVOCATION_MARGIN_MS;
   return isTooOld ? { kind: "unproven" } : { kind: "account", account };
 }
 
-/** When callers come back whose key can't be proven: twice this at the most. */
-const UNPROVEN_RETRY_MS = 500;
+/** Minimum retry delay for unproven keys; the maximum is twice this. */
+const MIN_UNPROVEN_RETRY_MS = 500;
 
 /**
- * A VM hears within a second or two of the platform's return; callers that
- * come back spread over a time don't meet at one moment.
+ * Gives the retry delay of a caller whose key could not be proven. Once the
+ * platform is back, a VM hears of it within a second or two. The jitter keeps
+ * callers that were refused together from retrying together.
  *
- * @param spread Spreads callers that are refused together, 0 to 1.
- * @returns When to come back, in ms.
+ * @param jitter Random number, 0 to 1.
+ * @returns The retry delay in ms.
  */
-export function getUnprovenRetryMs(spread: number): number {
-  return Math.round(UNPROVEN_RETRY_MS * (1 + spread));
+export function getUnprovenRetryMs(jitter: number): number {
+  return Math.round(MIN_UNPROVEN_RETRY_MS * (1 + jitter));
 }
 
 /**
@@ -88,6 +86,6 @@
 ): readonly string[] | undefined {
   if (route.length === 0) return account;
   if (account.length === 0) return route;
-  const both = route.filter((region) => account.includes(region));
-  return both.length > 0 ? both : undefined;
+  const common = route.filter((region) => account.includes(region));
+  return common.length > 0 ? common : undefined;
 }
--- a/src/accounts/identification_test.ts
+++ b/src/accounts/identification_test.ts
@@ -30,52 +30,54 @@
 ]);
 
 function identifyWith(changes: Partial<Credentials>, bounds = BOUNDS): string {
-  const found = identifyCaller({
+  const identification = identifyCaller({
     accounts,
     isPublic: false,
     apiKey: "k1",
     knowledgeAgeMs: 0,
     ...changes,
   }, bounds);
-  return found.kind === "account" ? found.account.name : found.kind;
+  return identification.kind === "account"
+    ? identification.account.name
+    : identification.kind;
 }
 
-test("each key of an account names it, whatever its name", () => {
+test("each key of an account identifies it, whatever its name", () => {
   assert.is(identifyWith({ apiKey: "k2" }), "one");
   assert.is(identifyWith({ apiKey: "k3" }), "__proto__");
 });
 
-test("no key, and keys that are no account's, are unknown", () => {
+test("a missing key and keys without an account are unknown", () => {
   assert.is(identifyWith({ apiKey: undefined }), "unknown");
   assert.is(identifyWith({ apiKey: "" }), "unknown");
   assert.is(identifyWith({ apiKey: "__proto__" }), "unknown");
   assert.is(identifyWith({ apiKey: "constructor" }), "unknown");
 });
 
-test("no account is needed on public routes, or where there are none", () => {
+test("no account is needed on public routes or without accounts", () => {
   assert.is(identifyWith({ isPublic: true, apiKey: "other" }), "open");
   assert.is(identifyWith({ accounts: undefined, apiKey: undefined }), "open");
   const oldest = { isPublic: true, knowledgeAgeMs: Infinity };
   assert.is(identifyWith(oldest), "open");
 });
 
-test("a VM that may be behind doesn't say that a key is unknown", () => {
+test("a VM with an outdated configuration doesn't report a key as unknown", () => {
   assert.is(identifyWith({ apiKey: "new", knowledgeAgeMs: 2_900 }), "unknown");
   assert.is(identifyWith({ apiKey: "new", knowledgeAgeMs: 3_100 }), "unproven");
 });
 
-test("no key runs on knowledge that a withdrawal may have passed by", () => {
+test("no key is accepted once its revocation may have been missed", () => {
   assert.is(identifyWith({ knowledgeAgeMs: 4_600 }), "one");
   assert.is(identifyWith({ knowledgeAgeMs: 5_000 }), "unproven");
   assert.is(identifyWith({ knowledgeAgeMs: Infinity }), "unproven");
 });
 
-test("without that bound, VMs that are cut off go by what they know", () => {
-  const bounds = { ...BOUNDS, withdrawalMs: undefined };
+test("without a revocation deadline, partitioned VMs use their configuration", () => {
+  const bounds = { ...BOUNDS, revocationDeadlineMs: undefined };
   assert.is(identifyWith({ knowledgeAgeMs: 600_000 }, bounds), "one");
 });
 
-test("homes of the route and of the account both bind", () => {
+test("home regions of the route and of the account both apply", () => {
   assert.equal(intersectHomeRegions([], []), []);
   assert.equal(intersectHomeRegions(["oslo"], []), ["oslo"]);
   assert.equal(intersectHomeRegions([], ["bergen"]), ["bergen"]);
--- a/src/accounts/types.ts
+++ b/src/accounts/types.ts
@@ -1,5 +1,5 @@
 /**
- * Client accounts: who may call, how much, and where their requests run.
+ * Client accounts: who may call, how much, and where their requests may run.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 /** A client account of the configuration, with its limit over all VMs. */
 export interface ClientAccount extends LimitSubject {
   /**
-   * Digests of its API keys. The keys themselves are not kept: what passes
-   * between VMs, into logs or dumps gives none away.
+   * Digests of its API keys. The keys themselves are not stored, so that
+   * messages between VMs, logs and state dumps can't reveal them.
    */
   keyDigests: string[];
-  /** 0 is the most urgent; goes before the route's where it is there. */
+  /** 0 is the most urgent; overrides the priority of the route. */
   priority?: number;
   /** Regions that may serve the account; empty where all may. */
   homeRegions: string[];
 }
 
-/** Bounds on what VMs may do by what they know of accounts. */
+/** Deadlines and margins within which VMs have to enforce accounts. */
 export interface AccountBounds {
-  /** Time in which a change has to be in force on VMs that are in touch. */
+  /** Time within which reachable VMs have to apply a new configuration. */
   configurationDeadlineMs: number;
   /**
-   * Time from its withdrawal after which a key runs nothing, on any VM; absent
-   * where cut-off VMs may go by what they know.
+   * Time after its revocation from which a key is rejected by every VM; absent
+   * where partitioned VMs may rely on the configuration that they have.
    */
   revocationDeadlineMs?: number;
-  /** What all VMs together may exceed a limit by. */
+  /** Tolerated excess over a limit, for all VMs together. */
   limitMargin: LimitMargin;
 }
--- a/src/limits/bucket.ts
+++ b/src/limits/bucket.ts
@@ -1,28 +1,31 @@
 /**
- * A token bucket: what may be done at once, and how that refills.
+ * Token buckets, and meters for the rate and the number of recent requests.
  *
  * @module
  */
 
-/** A bucket at some time. */
+/** Contents of a token bucket at some time. */
 export interface TokenBucket {
+  /** Requests that may run at once; below 0 where the limit was exceeded. */
   level: number;
   refilledAtMs: number;
 }
 
-/** How a bucket refills. */
+/** Refill rate and capacity of a token bucket. */
 export interface BucketSettings {
   ratePerS: number;
   burst: number;
 }
 
-/** One request has to fit, however small the part of a limit is. */
+/** A single request must fit, however small a share of the limit is. */
 const MIN_CAPACITY = 1;
 
 /**
- * @param bucket The bucket, which is refilled up to now.
- * @param terms How it refills.
- * @param nowMs Now, on the monotonic clock.
+ * Refills a bucket up to the given time.
+ *
+ * @param bucket The bucket, which is modified.
+ * @param settings Its refill rate and capacity.
+ * @param nowMs Current time on the monotonic clock.
  */
 export function refill(
   bucket: TokenBucket,
@@ -35,55 +38,57 @@
   bucket.refilledAtMs = nowMs;
 }
 
-/** Requests in a moving second, older ones counting less and less. */
+/** Measures a request rate; the weight of a request decays exponentially. */
 export interface RateMeter {
   record(requests: number): void;
+  /** @returns Requests a second. */
   getPerS(): number;
 }
 
-/** Weight of a request falls to 0.37 in this time. */
-const MEMORY_MS = 1_000;
+/** The weight of a request falls to 1/e (0.37) in this time. */
+const TIME_CONSTANT_MS = 1_000;
 
 /**
  * @param getNowMs The monotonic clock.
- * @returns A meter that counted nothing.
+ * @returns A meter whose rate is 0.
  */
 export function createRateMeter(getNowMs: () => number): RateMeter {
   let total = 0;
   let atMs = getNowMs();
 
-  function age(): void {
+  function decay(): void {
     const nowMs = getNowMs();
-    total *= Math.exp((atMs - nowMs) / MEMORY_MS);
+    total *= Math.exp((atMs - nowMs) / TIME_CONSTANT_MS);
     atMs = nowMs;
   }
 
   return {
     record(requests) {
-      age();
+      decay();
       total += requests;
     },
     getPerS() {
-      age();
-      return total * 1_000 / MEMORY_MS;
+      decay();
+      return total * 1_000 / TIME_CONSTANT_MS;
     },
   };
 }
 
-/** Requests in a moving window. */
+/** Counts requests in a sliding window. */
 export interface WindowCounter {
-  /** @param requests Added; below zero, taken back. */
+  /** @param requests Requests to add; negative for a refund. */
   record(requests: number): void;
+  /** @returns Requests in the window. */
   count(): number;
 }
 
-/** Steps in which a window moves on; what leaves it leaves late, never early. */
+/** Steps per window. Requests leave the window up to a step late, never early. */
 const WINDOW_STEPS = 10;
 
 /**
  * @param getNowMs The monotonic clock.
  * @param windowMs Length of the window.
- * @returns A counter that counted nothing.
+ * @returns An empty counter.
  */
 export function createWindowCounter(
   getNowMs: () => number,
--- a/src/limits/equal_share_limiter.ts
+++ b/src/limits/equal_share_limiter.ts
@@ -1,8 +1,9 @@
 /**
- * Limits by equal parts: each VM may use its part, whatever the others use.
+ * Limits divided equally: each VM may use its share, whatever the others use.
  *
- * Nothing has to be told and nothing can be exceeded, cut off or not. An account
- * whose requests come to few VMs is refused most of what it may have.
+ * VMs exchange no messages and can't exceed a limit together, even during a
+ * network partition. The drawback: an account whose requests reach only a few
+ * VMs is refused most of what its limit allows.
  *
  * @module
  */
@@ -17,7 +18,7 @@
   RateLimiter,
 } from "./limiter.ts";
 
-/** Gives each VM its part of each limit. */
+/** Divides each limit equally among the VMs. */
 export class EqualShareLimiter extends RateLimiter {
   readonly #clock: Clock;
   readonly #countVms: () => number;
@@ -26,7 +27,7 @@
 
   /**
    * @param clock The clock.
-   * @param countVms How many VMs may serve, this one included.
+   * @param countVms Number of VMs that may serve, this one included.
    */
   constructor(clock: Clock, countVms: () => number) {
     super();
@@ -35,18 +36,18 @@
     this.#startedAtMs = clock.monotonicMs();
   }
 
-  protected override takeLimited(holder: LimitedSubject): Admission {
-    const bucket = this.#refill(holder);
+  protected override takeLimited(subject: LimitedSubject): Admission {
+    const bucket = this.#refill(subject);
     if (bucket.level >= 1) {
       bucket.level--;
       return { kind: "within" };
     }
-    const ownPerS = holder.ratePerS / this.#countVms();
+    const ownPerS = subject.ratePerS / this.#countVms();
     return { kind: "over", retryAfterMs: (1 - bucket.level) * 1_000 / ownPerS };
   }
 
-  protected override count(holder: LimitedSubject, runs: number): void {
-    this.#refill(holder).level -= runs;
+  protected override count(subject: LimitedSubject, runs: number): void {
+    this.#refill(subject).level -= runs;
   }
 
   override takeUsage(): LimitUsage[] {
@@ -62,12 +63,12 @@
   }
 
   #refill({ name, ratePerS, burst }: LimitedSubject): TokenBucket {
-    const known = this.#buckets.get(name);
-    const bucket = known ?? { level: 0, refilledAtMs: this.#startedAtMs };
-    if (known === undefined) this.#buckets.set(name, bucket);
+    const existing = this.#buckets.get(name);
+    const bucket = existing ?? { level: 0, refilledAtMs: this.#startedAtMs };
+    if (existing === undefined) this.#buckets.set(name, bucket);
     const vms = this.#countVms();
-    const terms = { ratePerS: ratePerS / vms, burst: burst / vms };
-    refill(bucket, terms, this.#clock.monotonicMs());
+    const settings = { ratePerS: ratePerS / vms, burst: burst / vms };
+    refill(bucket, settings, this.#clock.monotonicMs());
     return bucket;
   }
 }
--- a/src/limits/limiter.ts
+++ b/src/limits/limiter.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps requests within a limit over all VMs together.
+ * Rate limits that hold for all VMs of the fleet together.
  *
  * @module
  */
 
-/** What has a limit of its own, such as a client account. */
+/** What a rate limit applies to: a client account or a backend server. */
 export interface LimitSubject {
   name: string;
   /** Requests a second over all VMs together; absent where there is no limit. */
@@ -16,9 +16,9 @@
 /** Tolerated excess over a limit, in any window. */
 export interface LimitMargin {
   windowMs: number;
-  /** Part of what the limit allows in the window. */
+  /** Tolerated excess, as a fraction of what the limit allows in the window. */
   ratio: number;
-  /** Requests on top. */
+  /** Requests tolerated on top of that. */
   allowance: number;
 }
 
@@ -28,82 +28,85 @@
   /** Over the limit. */
   | { kind: "over"; retryAfterMs: number };
 
-/** What was asked of a limit, since the last time. */
+/** Requests counted against one limit since the previous report. */
 export interface LimitUsage {
-  /** Whose limit. */
+  /** Name of the limit's subject. */
   name: string;
-  /** Requests that came, within the limit or over it. */
+  /** Requests that arrived, within the limit or over it. */
   asked: number;
-  /** Requests that ran; below zero where earlier ones turned out not to. */
+  /** Requests that ran; negative where more were refunded than ran. */
   spent: number;
 }
 
-/** A holder whose limit is a finite one. */
+/** A subject that has a rate limit. */
 export type LimitedSubject = LimitSubject & { ratePerS: number };
 
 /**
- * @param holder A holder.
- * @returns Whether it has a limit.
+ * @param subject The subject of a limit.
+ * @returns Whether it has a rate limit.
  */
-export function isLimited(holder: LimitSubject): holder is LimitedSubject {
-  return holder.ratePerS !== undefined;
+export function isLimited(subject: LimitSubject): subject is LimitedSubject {
+  return subject.ratePerS !== undefined;
 }
 
-/** Decides which requests are within the limit that they count under. */
+/** Decides which requests are within the limit that they count against. */
 export abstract class RateLimiter {
   /**
-   * @param holder Whose limit.
-   * @returns Whether one more request may run; it is counted then.
+   * Counts one more request against a limit, if the limit allows it.
+   *
+   * @param subject Whose limit.
+   * @returns Whether the request may run.
    */
-  take(holder: LimitSubject): Admission {
-    return isLimited(holder) ? this.takeLimited(holder) : { kind: "within" };
+  take(subject: LimitSubject): Admission {
+    return isLimited(subject) ? this.takeLimited(subject) : { kind: "within" };
   }
   /**
-   * Counts one more run of a request that was taken already.
+   * Counts another run of a request that was already admitted.
    *
-   * @param holder Whose limit.
+   * @param subject Whose limit.
    */
-  charge(holder: LimitSubject): void {
-    if (isLimited(holder)) this.count(holder, 1);
+  charge(subject: LimitSubject): void {
+    if (isLimited(subject)) this.count(subject, 1);
   }
   /**
-   * Takes back what was counted for a request that did not run.
+   * Returns what was counted for a request that did not run.
    *
-   * @param holder Whose limit.
+   * @param subject Whose limit.
    */
-  refund(holder: LimitSubject): void {
-    if (isLimited(holder)) this.count(holder, -1);
+  refund(subject: LimitSubject): void {
+    if (isLimited(subject)) this.count(subject, -1);
   }
-  /** The same as `take`, for those that have a limit. */
-  protected abstract takeLimited(holder: LimitedSubject): Admission;
+  /** Implements `take` for subjects that have a rate limit. */
+  protected abstract takeLimited(subject: LimitedSubject): Admission;
   /**
-   * Counts runs beside those that were taken.
+   * Counts runs other than those that `take` admitted.
    *
-   * @param runs How many; below zero, taken back.
+   * @param runs How many; negative for a refund.
    */
-  protected abstract count(holder: LimitedSubject, runs: number): void;
-  /** @returns What was asked at this VM since the last call. */
+  protected abstract count(subject: LimitedSubject, runs: number): void;
+  /** @returns Usage at this VM since the last call, to be sent to other VMs. */
   abstract takeUsage(): LimitUsage[];
   /**
-   * Takes in what was asked at other VMs.
+   * Accounts for usage reported by other VMs.
    *
-   * @param usage What was asked there.
+   * @param usage Usage at those VMs.
    */
   abstract receive(usage: readonly LimitUsage[]): void;
-  /** @returns Limits that were in use lately, at most some, for a dump. */
+  /** @returns Recently used limits, at most `MAX_LISTED`, for the state dump. */
   abstract list(): LimitState[];
 }
 
-/** A limit as a limiter sees it. */
+/** A limiter's view of one limit. */
 export interface LimitState {
-  /** Whose limit. */
+  /** Name of the limit's subject. */
   name: string;
   /** Requests that could run at once. */
   level: number;
-  /** Requests a second, at this VM and at others. */
+  /** Requests a second at this VM. */
   ownPerS: number;
+  /** Requests a second at other VMs. */
   othersPerS: number;
 }
 
-/** Limits of which a dump tells. */
+/** Maximum number of limits in a state dump. */
 export const MAX_LISTED = 50;
--- a/src/limits/model/limits_test.ts
+++ b/src/limits/model/limits_test.ts
@@ -3,24 +3,24 @@
 import { listLimitScenarios, listServerScenarios } from "./scenarios.ts";
 import { type LimitStrategy, simulateLimits } from "./simulation.ts";
 
-const WAYS: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
+const STRATEGIES: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
 const FLEETS = [
   { vms: 9, ratePerS: 25 },
   { vms: 60, ratePerS: 200 },
 ];
 const SEEDS = [1, 2, 3];
-/** Bursts, in seconds of the rate. */
+/** Bursts, as seconds of the rate. */
 const BURSTS_S = [0, 0.2, 1, 3];
 
-for (const way of WAYS) {
-  test(`no load exceeds a limit and its margin, kept by ${way}`, () => {
+for (const strategy of STRATEGIES) {
+  test(`no scenario exceeds a limit and its margin with ${strategy}`, () => {
     for (const { vms, ratePerS } of FLEETS) {
       for (const scenario of listLimitScenarios(vms, ratePerS)) {
         for (const burstS of BURSTS_S) {
           for (const seed of SEEDS) {
             const burst = burstS * scenario.ratePerS;
             const { maxBoundRatio: mostOfBound } = simulateLimits(
-              way,
+              strategy,
               { ...scenario, burst },
               seed,
             );
@@ -33,8 +33,8 @@
   });
 }
 
-/** Least part of what is allowed that is served, by load. */
-const AIMS: Record<string, number> = {
+/** Minimum share of the allowed requests to be served, by scenario. */
+const MIN_SERVED_SHARES: Record<string, number> = {
   "steady": 0.98,
   "far over, spread": 0.98,
   "one VM, over": 0.95,
@@ -43,13 +43,13 @@
   "region cut, usual": 0.98,
 };
 
-for (const [load, aim] of Object.entries(AIMS)) {
-  test(`shared usage serves ${aim} of what is allowed: ${load}`, () => {
+for (const [scenarioName, minShare] of Object.entries(MIN_SERVED_SHARES)) {
+  test(`shared usage serves ${minShare} of the allowed requests: ${scenarioName}`, () => {
     const scenario = listLimitScenarios(60, 200).find(({ name }) =>
-      name === load
+      name === scenarioName
     );
     const { servedShare } = simulateLimits("shared_usage", scenario!);
-    assert.ok(servedShare >= aim, `${servedShare}`);
+    assert.ok(servedShare >= minShare, `${servedShare}`);
   });
 }
 
@@ -59,7 +59,7 @@
   { vms: 60, ratePerS: 4 },
 ];
 
-test("no load exceeds a server's limit and its margin, kept by shared usage", () => {
+test("no scenario exceeds a server's limit and its margin with shared usage", () => {
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       for (const seed of SEEDS) {
@@ -75,16 +75,18 @@
   }
 });
 
-/** Least part of a server's limit that is used while VMs hear each other. */
-const SERVER_AIM = 0.8;
+/** Minimum share of a server's limit to be used while VMs reach each other. */
+const MIN_SERVER_SHARE = 0.8;
 
-test("shared usage uses most of a server's limit, whichever VM is asked", () => {
+test("shared usage uses most of a server's limit, whichever VM gets the requests", () => {
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
-      const isWell = ["all is well", "one VM gets all"].includes(scenario.name);
-      if (!isWell) continue;
+      const isFaultFree = ["all is well", "one VM gets all"].includes(
+        scenario.name,
+      );
+      if (!isFaultFree) continue;
       const { servedShare } = simulateLimits("shared_usage", scenario);
-      assert.ok(servedShare >= SERVER_AIM, `${vms} VMs: ${servedShare}`);
+      assert.ok(servedShare >= MIN_SERVER_SHARE, `${vms} VMs: ${servedShare}`);
     }
   }
 });
--- a/src/limits/model/ranked_sender_limiter.ts
+++ b/src/limits/model/ranked_sender_limiter.ts
@@ -1,5 +1,6 @@
 /**
- * Limits by senders: the first VMs of a region by rank spend the whole limit.
+ * Limits by ranked senders: the first VMs of a region by rank may use the whole
+ * limit, the others nothing.
  *
  * @module
  */
@@ -13,21 +14,21 @@
   RateLimiter,
 } from "../limiter.ts";
 
-/** Who may be a sender. */
+/** The VMs that senders are chosen from. */
 export interface Senders {
   region: string;
   listVms: (region: string) => readonly string[];
 }
 
-/** Gives few VMs the whole of each limit, as cold servers are limited. */
+/** Lets a few VMs use all of each limit, in the way cold servers are limited. */
 export class RankedSenderLimiter extends RateLimiter {
   readonly #senders: Senders;
   readonly #limit: ColdLimit;
 
   /**
    * @param clock The clock.
-   * @param ownId This VM.
-   * @param senders Who may be a sender.
+   * @param ownId Id of this VM.
+   * @param senders The VMs that senders are chosen from.
    */
   constructor(clock: Clock, ownId: string, senders: Senders) {
     super();
--- a/src/limits/model/scenarios.ts
+++ b/src/limits/model/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * Loads that a way of keeping limits has to answer.
+ * Scenarios for simulations of rate limits.
  *
  * @module
  */
@@ -7,44 +7,44 @@
 import type { LimitScenario } from "./simulation.ts";
 
 const DURATION_MS = 20_000;
-const CUT_AT_MS = 6_000;
-const HEALED_AT_MS = 13_000;
-/** What an account sends beyond its limit at the worst. */
-const HOT = 4.7;
-/** What it sends usually. */
-const USUAL = 0.62;
+const PARTITION_START_MS = 6_000;
+const PARTITION_END_MS = 13_000;
+/** Demand of an overloading account, as a multiple of its limit. */
+const OVERLOAD = 4.7;
+/** Normal demand of an account, as a fraction of its limit. */
+const NORMAL = 0.62;
 
-type Changes = Partial<LimitScenario> & Pick<LimitScenario, "name">;
+type ScenarioChanges = Partial<LimitScenario> & Pick<LimitScenario, "name">;
 
 function makeScenario(
   vms: number,
   ratePerS: number,
-  part: number,
-  changes: Changes,
+  demandRatio: number,
+  changes: ScenarioChanges,
 ): LimitScenario {
   return {
     vms,
     ratePerS,
     burst: ratePerS,
     durationMs: DURATION_MS,
-    getDemandPerS: () => part * ratePerS / vms,
+    getDemandPerS: () => demandRatio * ratePerS / vms,
     ...changes,
   };
 }
 
-function isCutThen(nowMs: number): boolean {
-  return nowMs >= CUT_AT_MS && nowMs < HEALED_AT_MS;
+function isPartitionTime(nowMs: number): boolean {
+  return nowMs >= PARTITION_START_MS && nowMs < PARTITION_END_MS;
 }
 
-function isBergenCut(from: string, to: string, nowMs: number): boolean {
-  return isCutThen(nowMs) && from !== to &&
+function isBergenPartitioned(from: string, to: string, nowMs: number): boolean {
+  return isPartitionTime(nowMs) && from !== to &&
     (from === "bergen" || to === "bergen");
 }
 
 /**
- * @param vms VMs of the fleet.
- * @param ratePerS Rate of a large account.
- * @returns The loads.
+ * @param vms Number of VMs in the fleet.
+ * @param ratePerS Limit of a large account, in requests a second.
+ * @returns Scenarios for the limit of a client account.
  */
 export function listLimitScenarios(
   vms: number,
@@ -52,8 +52,8 @@
 ): LimitScenario[] {
   const all = Array.from({ length: vms }, (_, index) => index);
   return [
-    makeScenario(vms, ratePerS, USUAL, { name: "steady" }),
-    makeScenario(vms, ratePerS, HOT, { name: "far over, spread" }),
+    makeScenario(vms, ratePerS, NORMAL, { name: "steady" }),
+    makeScenario(vms, ratePerS, OVERLOAD, { name: "far over, spread" }),
     makeScenario(vms, ratePerS, 0, {
       name: "one VM, over",
       getDemandPerS: (vm) => vm === 4 ? 1.5 * ratePerS : 0,
@@ -70,37 +70,37 @@
     makeScenario(vms, ratePerS, 0, {
       name: "surge",
       getDemandPerS: (_, nowMs) =>
-        (nowMs >= 8_000 && nowMs < 16_000 ? HOT : USUAL) * ratePerS / vms,
+        (nowMs >= 8_000 && nowMs < 16_000 ? OVERLOAD : NORMAL) * ratePerS / vms,
     }),
-    makeScenario(vms, ratePerS, HOT, {
+    makeScenario(vms, ratePerS, OVERLOAD, {
       name: "region cut, far over",
-      isCut: isBergenCut,
+      isCut: isBergenPartitioned,
     }),
-    makeScenario(vms, ratePerS, USUAL, {
+    makeScenario(vms, ratePerS, NORMAL, {
       name: "region cut, usual",
-      isCut: isBergenCut,
+      isCut: isBergenPartitioned,
     }),
-    makeScenario(vms, ratePerS, HOT, {
+    makeScenario(vms, ratePerS, OVERLOAD, {
       name: "each VM on its own, far over",
-      isCut: (_from, _to, nowMs) => isCutThen(nowMs),
+      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
-    makeScenario(vms, ratePerS, USUAL, {
+    makeScenario(vms, ratePerS, NORMAL, {
       name: "each VM on its own, usual",
-      isCut: (_from, _to, nowMs) => isCutThen(nowMs),
+      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
-    makeScenario(vms, ratePerS, HOT, {
+    makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all regions cut, far over",
-      isCut: (from, to, nowMs) => isCutThen(nowMs) && from !== to,
+      isCut: (from, to, nowMs) => isPartitionTime(nowMs) && from !== to,
     }),
-    makeScenario(vms, ratePerS, HOT, {
+    makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all restart, far over",
       restarts: [{ atMs: 8_000, vms: all, downMs: 1_000 }],
     }),
-    makeScenario(vms, ratePerS, USUAL, {
+    makeScenario(vms, ratePerS, NORMAL, {
       name: "all restart, usual",
       restarts: [{ atMs: 8_000, vms: all, downMs: 1_000 }],
     }),
-    makeScenario(vms, ratePerS, HOT, {
+    makeScenario(vms, ratePerS, OVERLOAD, {
       name: "one after the other restarts, far over",
       restarts: all.map((vm) => ({
         atMs: 2_000 + 300 * vm,
@@ -108,7 +108,7 @@
         downMs: 1_000,
       })),
     }),
-    makeScenario(vms, ratePerS, USUAL, {
+    makeScenario(vms, ratePerS, NORMAL, {
       name: "a third restarts, usual",
       restarts: [{
         atMs: 8_000,
@@ -116,30 +116,31 @@
         downMs: 2_000,
       }],
     }),
-    makeScenario(vms, ratePerS, USUAL, {
+    makeScenario(vms, ratePerS, NORMAL, {
       name: "lowered",
       lowered: { atMs: 8_000, ratePerS: ratePerS / 8, burst: ratePerS / 8 },
     }),
-    makeScenario(vms, 2, USUAL, { name: "small, usual" }),
-    makeScenario(vms, 2, HOT, { name: "small, far over" }),
+    makeScenario(vms, 2, NORMAL, { name: "small, usual" }),
+    makeScenario(vms, 2, OVERLOAD, { name: "small, far over" }),
   ];
 }
 
-/** What a server may get beyond the rate limit that it advertised. */
+/** Tolerated excess over a server's advertised rate limit. */
 const SERVER_MARGIN: LimitMargin = {
   windowMs: 4_000,
   ratio: 0.5,
   allowance: 5,
 };
-/** What a server got before, as a part of its limit. */
-const SERVER_DEMAND = 5;
-/** Part of it that VMs of the server's own region send. */
-const NEAR_PART = 0.9;
+/** Demand on a server, as a multiple of its limit. */
+const SERVER_DEMAND_RATIO = 5;
+/** Fraction of the demand that VMs of the server's own region send. */
+const NEAR_SHARE = 0.9;
 
 /**
- * @param vms VMs of the fleet.
- * @param ratePerS Limit of a server in the first VM's region.
- * @returns Loads that the server's limit has to answer.
+ * @param vms Number of VMs in the fleet.
+ * @param ratePerS Limit of a server in the first VM's region, in requests a
+ *   second.
+ * @returns Scenarios for the limit of a backend server.
  */
 export function listServerScenarios(
   vms: number,
@@ -149,9 +150,9 @@
   const near = all.filter((vm) => vm % 3 === 0);
   const far = vms - near.length;
   const getDemandPerS = (vm: number) =>
-    SERVER_DEMAND * ratePerS *
-    (vm % 3 === 0 ? NEAR_PART / near.length : (1 - NEAR_PART) / far);
-  const make = (changes: Changes): LimitScenario =>
+    SERVER_DEMAND_RATIO * ratePerS *
+    (vm % 3 === 0 ? NEAR_SHARE / near.length : (1 - NEAR_SHARE) / far);
+  const make = (changes: ScenarioChanges): LimitScenario =>
     makeScenario(vms, ratePerS, 0, {
       margin: SERVER_MARGIN,
       startsEmpty: true,
@@ -162,16 +163,17 @@
     make({ name: "all is well" }),
     make({
       name: "one VM gets all",
-      getDemandPerS: (vm) => vm === 3 ? SERVER_DEMAND * ratePerS : 0,
+      getDemandPerS: (vm) => vm === 3 ? SERVER_DEMAND_RATIO * ratePerS : 0,
     }),
     make({
       name: "its region cut off",
       isCut: (from, to, nowMs) =>
-        isCutThen(nowMs) && from !== to && (from === "oslo" || to === "oslo"),
+        isPartitionTime(nowMs) && from !== to &&
+        (from === "oslo" || to === "oslo"),
     }),
     make({
       name: "each VM on its own",
-      isCut: (_from, _to, nowMs) => isCutThen(nowMs),
+      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     make({
       name: "all restart",
--- a/src/limits/model/simulation.ts
+++ b/src/limits/model/simulation.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet under a fake clock in which more or less is asked than limits allow: what each way of limiting lets through, against what one VM that
- * knew everything would.
+ * Simulates a fleet whose demand may exceed its limits, under a fake clock, and
+ * compares what a strategy serves with what a single limiter would serve that
+ * knows of every request at once.
  *
  * @module
  */
@@ -21,10 +22,10 @@
   type UsageUpdate,
 } from "../usage_sharing.ts";
 
-/** A way of keeping limits. */
+/** A strategy to enforce limits. */
 export type LimitStrategy = "equal_parts" | "shared_usage" | "ranked_senders";
 
-/** What happens to a fleet. */
+/** Demand on a fleet, and the faults that it has to cope with. */
 export interface LimitScenario {
   name: string;
   vms: number;
@@ -34,30 +35,32 @@
   /**
    * @param vm Index of a VM.
    * @param nowMs Time since the start.
-   * @returns Requests a second that come to it.
+   * @returns Requests a second that reach the VM.
    */
   getDemandPerS: (vm: number, nowMs: number) => number;
-  /** Whether two regions are cut off from each other. */
+  /** Whether two regions are partitioned from each other. */
   isCut?: (from: string, to: string, nowMs: number) => boolean;
-  /** When which VMs start anew. */
+  /** VMs that restart, and when. */
   restarts?: { atMs: number; vms: readonly number[]; downMs: number }[];
-  /** What may be exceeded; that of client accounts unless given. */
+  /** Tolerated excess; by default that of client accounts. */
   margin?: LimitMargin;
-  /** Whether the limit was set on what is in use, so that nothing is saved up. */
+  /** Whether the bucket starts empty: the limit was set while in use. */
   startsEmpty?: boolean;
-  /** The limit from some time on. */
+  /** A lower limit, and when it takes effect. */
   lowered?: { atMs: number; ratePerS: number; burst: number };
 }
 
-/** What came of it. */
+/** Results of a simulation. */
 export interface LimitStats {
+  /** Requests that arrived. */
   asked: number;
+  /** Requests that were admitted. */
   served: number;
-  /** What one VM that knew everything would have served. */
+  /** Requests that a limiter with complete knowledge would have admitted. */
   allowed: number;
-  /** Served, of what was allowed. */
+  /** `served` divided by `allowed`. */
   servedShare: number;
-  /** Most in any window, as a part of what the limit and its margin allow. */
+  /** Most requests served in any window, divided by the limit plus margin. */
   maxBoundRatio: number;
 }
 
@@ -65,16 +68,16 @@
 const STEP_MS = 10;
 const REGION_DELAY_MS = 35;
 const LOCAL_DELAY_MS = 2;
-/** Before it, VMs get to know each other and nothing is asked. */
-const LEAD_MS = 3_000;
+/** Time before the first request, in which the VMs hear from each other. */
+const WARM_UP_MS = 3_000;
 const ACCOUNT_MARGIN: LimitMargin = {
   windowMs: 5_000,
   ratio: 0.1,
   allowance: 20,
 };
-const HOLDER = "a holder";
-/** The region of a holder that stands in one, such as a server. */
-const HOLDER_REGION = REGIONS[0];
+const SUBJECT = "subject";
+/** Region of a subject that is located in one, such as a server. */
+const SUBJECT_REGION = REGIONS[0];
 
 interface ModelVm {
   identity: VmIdentity;
@@ -84,29 +87,31 @@
 }
 
 /**
- * @param way How limits are kept.
- * @param scenario What happens.
- * @param seed Draws the moments at which requests come.
- * @returns What came of it.
+ * Simulates a fleet that enforces one limit.
+ *
+ * @param strategy How the limit is enforced.
+ * @param scenario Demand and faults.
+ * @param seed Seed of the arrival times.
+ * @returns Numbers of requests, and how close they came to the bound.
  */
 export function simulateLimits(
-  way: LimitStrategy,
+  strategy: LimitStrategy,
   scenario: LimitScenario,
   seed = 1,
 ): LimitStats {
   const clock = createFakeClock();
   const random = createRandom(seed);
   const { ratePerS, burst } = scenario;
-  const holder: LimitedSubject = { name: HOLDER, ratePerS, burst };
-  const fleet = startFleet(way, scenario, { clock, random, holder });
+  const subject: LimitedSubject = { name: SUBJECT, ratePerS, burst };
+  const fleet = startFleet(strategy, scenario, { clock, random, subject });
   const level = scenario.startsEmpty ? 0 : burst;
-  const ideal: TokenBucket = { level, refilledAtMs: LEAD_MS };
+  const ideal: TokenBucket = { level, refilledAtMs: WARM_UP_MS };
   const servedAtMs: number[] = [];
   let asked = 0;
   let allowed = 0;
-  clock.advance(LEAD_MS);
+  clock.advance(WARM_UP_MS);
   for (let nowMs = 0; nowMs < scenario.durationMs; nowMs += STEP_MS) {
-    applyEvents(scenario, nowMs, holder, fleet);
+    applyEvents(scenario, nowMs, subject, fleet);
     for (let index = 0; index < scenario.vms; index++) {
       const vm = fleet.vms[index];
       const mean = scenario.getDemandPerS(index, nowMs) * STEP_MS / 1_000;
@@ -115,14 +120,14 @@
         asked++;
         refill(
           ideal,
-          { ratePerS: holder.ratePerS, burst: holder.burst },
-          LEAD_MS + nowMs,
+          { ratePerS: subject.ratePerS, burst: subject.burst },
+          WARM_UP_MS + nowMs,
         );
         if (ideal.level >= 1) {
           ideal.level--;
           allowed++;
         }
-        if (vm.limiter.take(holder).kind === "within") servedAtMs.push(nowMs);
+        if (vm.limiter.take(subject).kind === "within") servedAtMs.push(nowMs);
       }
     }
     clock.advance(STEP_MS);
@@ -133,7 +138,7 @@
     served: servedAtMs.length,
     allowed,
     servedShare: servedAtMs.length / allowed,
-    maxBoundRatio: getMostOfBound(servedAtMs, scenario),
+    maxBoundRatio: getMaxBoundRatio(servedAtMs, scenario),
   };
 }
 
@@ -143,12 +148,12 @@
 }
 
 function startFleet(
-  way: LimitStrategy,
+  strategy: LimitStrategy,
   scenario: LimitScenario,
-  { clock, random, holder }: {
+  { clock, random, subject }: {
     clock: FakeClock;
     random: Random;
-    holder: LimitedSubject;
+    subject: LimitedSubject;
   },
 ): Fleet {
   const identities = Array.from(
@@ -161,15 +166,15 @@
   const topology = arrange(identities);
   const vms: ModelVm[] = [];
 
-  function deliver(from: VmIdentity, toId: string, news: UsageUpdate): void {
+  function deliver(from: VmIdentity, toId: string, update: UsageUpdate): void {
     const to = vms.find(({ identity }) => identity.id === toId);
     if (to === undefined) return;
-    const isNear = from.region === to.identity.region;
-    const delayMs = isNear ? LOCAL_DELAY_MS : REGION_DELAY_MS;
-    const nowMs = clock.monotonicMs() - LEAD_MS;
+    const isSameRegion = from.region === to.identity.region;
+    const delayMs = isSameRegion ? LOCAL_DELAY_MS : REGION_DELAY_MS;
+    const nowMs = clock.monotonicMs() - WARM_UP_MS;
     if (scenario.isCut?.(from.region, to.identity.region, nowMs)) return;
     clock.after(delayMs, () => {
-      if (to.isUp) to.sharing?.receive(from, news);
+      if (to.isUp) to.sharing?.receive(from, update);
     });
   }
 
@@ -180,36 +185,36 @@
   }
 
   function startVm(identity: VmIdentity): ModelVm {
-    if (way === "equal_parts") {
+    if (strategy === "equal_parts") {
       const limiter = new EqualShareLimiter(clock, () => scenario.vms);
       return { identity, limiter, sharing: undefined, isUp: true };
     }
-    if (way === "ranked_senders") {
+    if (strategy === "ranked_senders") {
       const limiter = new RankedSenderLimiter(clock, identity.id, {
-        region: HOLDER_REGION,
+        region: SUBJECT_REGION,
         listVms: listUp,
       });
       return { identity, limiter, sharing: undefined, isUp: true };
     }
-    const pool = createLimitShares(clock, () => scenario.vms);
+    const limitShares = createLimitShares(clock, () => scenario.vms);
     const limiter = new SharedUsageLimiter({
       clock,
       random,
-      getShare: pool.getShare,
-      getOwnShare: pool.getOwnShare,
-      getStableMs: scenario.startsEmpty ? () => 0 : pool.getStableMs,
+      getShare: limitShares.getShare,
+      getOwnShare: limitShares.getOwnShare,
+      getStableMs: scenario.startsEmpty ? () => 0 : limitShares.getStableMs,
       margin: scenario.margin ?? ACCOUNT_MARGIN,
-      findSubject: () => holder,
+      findSubject: () => subject,
     });
     const sharing = startUsageSharing({
       self: identity,
       clock,
       limiter,
-      limitShares: pool,
+      limitShares,
       hasLimits: () => true,
       listPeers: () => identities.filter(({ id }) => id !== identity.id),
       getTopology: () => topology,
-      send: (ids, news) => ids.forEach((id) => deliver(identity, id, news)),
+      send: (ids, update) => ids.forEach((id) => deliver(identity, id, update)),
     });
     return { identity, limiter, sharing, isUp: true };
   }
@@ -226,12 +231,12 @@
 function applyEvents(
   { lowered, restarts = [] }: LimitScenario,
   nowMs: number,
-  holder: LimitedSubject,
+  subject: LimitedSubject,
   fleet: Fleet,
 ): void {
   if (lowered?.atMs === nowMs) {
-    holder.ratePerS = lowered.ratePerS;
-    holder.burst = lowered.burst;
+    subject.ratePerS = lowered.ratePerS;
+    subject.burst = lowered.burst;
   }
   for (const { atMs, vms, downMs } of restarts) {
     for (const index of vms) {
@@ -244,23 +249,23 @@
   }
 }
 
-/** A lower limit binds once a window has passed. */
-function getMostOfBound(
+/** A lowered limit applies from one window after it was lowered. */
+function getMaxBoundRatio(
   servedAtMs: readonly number[],
   { ratePerS, burst, lowered, margin = ACCOUNT_MARGIN }: LimitScenario,
 ): number {
-  let most = 0;
+  let maxRatio = 0;
   let first = 0;
   servedAtMs.forEach((endMs, index) => {
     while (servedAtMs[first] <= endMs - margin.windowMs) first++;
-    const isLow = lowered !== undefined &&
+    const isLowered = lowered !== undefined &&
       endMs >= lowered.atMs + margin.windowMs;
-    const limit = isLow ? lowered : { ratePerS, burst };
+    const limit = isLowered ? lowered : { ratePerS, burst };
     const allowed = limit.ratePerS * margin.windowMs / 1_000 + limit.burst;
     const bound = allowed * (1 + margin.ratio) + margin.allowance;
-    most = Math.max(most, (index - first + 1) / bound);
+    maxRatio = Math.max(maxRatio, (index - first + 1) / bound);
   });
-  return most;
+  return maxRatio;
 }
 
 function drawPoisson(random: Random, mean: number): number {
--- a/src/limits/shared_usage_limiter.ts
+++ b/src/limits/shared_usage_limiter.ts
@@ -1,14 +1,14 @@
 /**
- * Limits by shared usage: each VM keeps a holder's bucket as all VMs
- * together use it, from what they tell each other.
+ * Limits by shared usage: each VM keeps a token bucket for the usage of all VMs
+ * together, from the usage that they report to each other.
  *
- * Load patterns: callers of one account come to one VM alone, or to sixty, or
- * move from one failure domain to another within seconds; one sends five times
- * what it may; a region is cut off. VMs that are heard from hold a common part
- * of the limit; the parts of those that are not stay with them. What others
- * used is heard a fraction of a second late, so where the bucket runs low
- * requests are let through by the part of the demand that the rate covers: VMs
- * that all took what was left at once would exceed it together.
+ * Load patterns: the requests of one account reach a single VM, or sixty, or
+ * move from one failure domain to another within seconds; an account sends five
+ * times its limit; a region is partitioned. VMs that hear from each other hold
+ * a common share of the limit; silent VMs keep theirs. Reports from other VMs
+ * arrive a fraction of a second late. When the bucket runs low, requests are
+ * therefore admitted in the proportion of the demand that the rate covers: if
+ * every VM took all that was left at once, together they would exceed the limit.
  *
  * @module
  */
@@ -34,107 +34,111 @@
   RateLimiter,
 } from "./limiter.ts";
 
-/** What shared usage needs. */
+/** Dependencies of `SharedUsageLimiter`. */
 export interface SharedUsageOptions {
   clock: Clock;
   random: Random;
-  /** Part of every limit that this VM and those that it hears from hold. */
+  /** Share of every limit that this VM and the VMs it hears from hold, 0 to 1. */
   getShare: () => number;
-  /** Part that this VM holds alone. */
+  /** Share that this VM holds alone, 0 to 1. */
   getOwnShare: () => number;
-  /** For how long this VM has heard what the common part is used for. */
+  /** How long this VM has received all usage of the common share, in ms. */
   getStableMs: () => number;
   margin: LimitMargin;
-  /** Finds whose limit other VMs told of. */
+  /** Finds the subject of a limit whose usage another VM reported. */
   findSubject: (name: string) => LimitSubject | undefined;
 }
 
 interface Usage {
   bucket: TokenBucket;
-  /** Part of the limit that the bucket stands for. */
-  part: number;
+  /** Share of the limit that the bucket represents. */
+  share: number;
   own: RateMeter;
   others: RateMeter;
-  /** What ran at this VM. */
+  /** Requests that ran at this VM. */
   window: WindowCounter;
-  /** Not told yet. */
+  /** Requests that arrived and are not reported yet. */
   asked: number;
+  /** Requests that ran and are not reported yet. */
   spent: number;
-  /** Rises by the admitted part of each request; a whole one is let through. */
+  /** Grows by the admitted fraction of each request; at 1, one is admitted. */
   credit: number;
-  /** When the callers that were turned away until now will have come back. */
+  /** When all callers that were refused until now will have retried. */
   returnAtMs: number;
   usedAtMs: number;
 }
 
-/** How late what others used is heard: two pauses of telling and a way. */
-const NEWS_LAG_S = 0.35;
-/** Time in which the bucket is brought to where it should be. */
-const SETTLE_S = 0.4;
-/** The reserve for what is not heard yet takes this part of a burst at most. */
-const MAX_RESERVE_PART = 0.5;
-/** VMs that hear fewer than this part of all are on their own. */
-const SCATTERED_PART = 0.25;
-/** Kept below the whole, for what was in common use a moment before. */
-const OWN_PART = 0.8;
-/** Holders that rest for so long have a full bucket, and are forgotten. */
+/** Age of reported usage: two send intervals and the network delay. */
+const REPORT_DELAY_S = 0.35;
+/** Time in which the bucket is brought back to its target level. */
+const CORRECTION_TIME_S = 0.4;
+/** Largest fraction of the burst to be reserved for unreported usage. */
+const MAX_RESERVE_RATIO = 0.5;
+/** Below this share the VM relies on its own share of the limit alone. */
+const MIN_COMMON_SHARE = 0.25;
+/** Below 1, for what the VMs used just before from their common share. */
+const OWN_SHARE_FACTOR = 0.8;
+/** After this time without requests a bucket is full, and is dropped. */
 const FORGET_MS = 60_000;
 const MIN_RETRY_MS = 50;
-/** A caller that is told more gives up; more is told to none. */
+/** Callers that are told to wait longer give up. */
 const MAX_RETRY_MS = 10_000;
 
-/** Keeps limits by what VMs tell each other. */
+/** Enforces limits by the usage that VMs report to each other. */
 export class SharedUsageLimiter extends RateLimiter {
-  readonly #parts: SharedUsageOptions;
+  readonly #options: SharedUsageOptions;
   readonly #usages = new Map<string, Usage>();
 
-  /** @param parts What it needs. */
-  constructor(parts: SharedUsageOptions) {
+  /** @param options The limiter's dependencies. */
+  constructor(options: SharedUsageOptions) {
     super();
-    this.#parts = parts;
+    this.#options = options;
   }
 
-  protected override takeLimited(holder: LimitedSubject): Admission {
-    const { ratePerS, burst } = holder;
-    const usage = this.#get(holder);
+  protected override takeLimited(subject: LimitedSubject): Admission {
+    const { ratePerS, burst } = subject;
+    const usage = this.#get(subject);
     usage.asked++;
     usage.own.record(1);
-    usage.usedAtMs = this.#parts.clock.monotonicMs();
+    usage.usedAtMs = this.#options.clock.monotonicMs();
     const isWithin = this.#isWithin(usage, ratePerS, burst) ||
-      this.#isWithinOwnPart(usage, ratePerS, burst);
+      this.#isWithinOwnShare(usage, ratePerS, burst);
     if (!isWithin) {
-      return { kind: "over", retryAfterMs: this.#getReturn(usage, ratePerS) };
+      return {
+        kind: "over",
+        retryAfterMs: this.#scheduleRetry(usage, ratePerS),
+      };
     }
     spend(usage, 1);
     return { kind: "within" };
   }
 
-  protected override count(holder: LimitedSubject, runs: number): void {
-    spend(this.#get(holder), runs);
+  protected override count(subject: LimitedSubject, runs: number): void {
+    spend(this.#get(subject), runs);
   }
 
   override takeUsage(): LimitUsage[] {
-    const limitMs = this.#parts.clock.monotonicMs() - FORGET_MS;
-    const news: LimitUsage[] = [];
+    const limitMs = this.#options.clock.monotonicMs() - FORGET_MS;
+    const reports: LimitUsage[] = [];
     for (const [name, usage] of this.#usages) {
       if (usage.usedAtMs < limitMs) this.#usages.delete(name);
       const { asked, spent } = usage;
       if (asked === 0 && spent === 0) continue;
-      news.push({ name, asked, spent });
+      reports.push({ name, asked, spent });
       usage.asked = 0;
       usage.spent = 0;
     }
-    return news;
+    return reports;
   }
 
-  override receive(told: readonly LimitUsage[]): void {
-    for (const { name, asked, spent } of told) {
-      const holder = this.#parts.findSubject(name);
-      if (holder === undefined || !isLimited(holder)) continue;
-      const usage = this.#get(holder);
+  override receive(reports: readonly LimitUsage[]): void {
+    for (const { name, asked, spent } of reports) {
+      const subject = this.#options.findSubject(name);
+      if (subject === undefined || !isLimited(subject)) continue;
+      const usage = this.#get(subject);
       usage.others.record(asked);
       usage.bucket.level -= spent;
-      usage.usedAtMs = this.#parts.clock.monotonicMs();
+      usage.usedAtMs = this.#options.clock.monotonicMs();
     }
   }
 
@@ -147,78 +151,81 @@
     }));
   }
 
-  #get(holder: LimitedSubject): Usage {
-    const { name, ratePerS, burst } = holder;
-    const { clock, getShare: getPart } = this.#parts;
+  #get(subject: LimitedSubject): Usage {
+    const { name, ratePerS, burst } = subject;
+    const { clock, getShare } = this.#options;
     const nowMs = clock.monotonicMs();
-    const part = getPart();
-    const usage = this.#usages.get(name) ?? this.#begin(holder, part);
+    const share = getShare();
+    const usage = this.#usages.get(name) ?? this.#create(subject, share);
     const { bucket } = usage;
-    // Those that fell silent keep what was theirs.
-    if (part < usage.part && bucket.level > 0) {
-      bucket.level *= part / usage.part;
+    // VMs that became silent keep their share of the bucket.
+    if (share < usage.share && bucket.level > 0) {
+      bucket.level *= share / usage.share;
     }
-    usage.part = part;
-    refill(bucket, { ratePerS: ratePerS * part, burst: burst * part }, nowMs);
+    usage.share = share;
+    refill(bucket, { ratePerS: ratePerS * share, burst: burst * share }, nowMs);
     return usage;
   }
 
-  #begin(holder: LimitedSubject, part: number): Usage {
-    const { clock, random } = this.#parts;
+  #create(subject: LimitedSubject, share: number): Usage {
+    const { clock, random } = this.#options;
     const nowMs = clock.monotonicMs();
     const getNowMs = () => clock.monotonicMs();
     const usage: Usage = {
       bucket: {
-        level: this.#getFirstLevel(holder, part),
+        level: this.#getInitialLevel(subject, share),
         refilledAtMs: nowMs,
       },
-      part,
+      share,
       own: createRateMeter(getNowMs),
       others: createRateMeter(getNowMs),
-      window: createWindowCounter(getNowMs, this.#parts.margin.windowMs),
+      window: createWindowCounter(getNowMs, this.#options.margin.windowMs),
       asked: 0,
       spent: 0,
       credit: random(),
       returnAtMs: nowMs,
       usedAtMs: nowMs,
     };
-    this.#usages.set(holder.name, usage);
+    this.#usages.set(subject.name, usage);
     return usage;
   }
 
   /**
-   * A holder that nobody told of has rested for as long as others are heard
-   * here. What was spent before that is not known.
+   * A limit without reported usage has been idle for as long as this VM has
+   * heard from the others. Usage before that time is unknown, so the bucket
+   * starts with no more than was refilled since.
    */
-  #getFirstLevel({ ratePerS, burst }: LimitedSubject, part: number): number {
-    const settledS = this.#parts.getStableMs() / 1_000;
-    return Math.min(burst, ratePerS * settledS) * part;
+  #getInitialLevel({ ratePerS, burst }: LimitedSubject, share: number): number {
+    const stableS = this.#options.getStableMs() / 1_000;
+    return Math.min(burst, ratePerS * stableS) * share;
   }
 
   /**
-   * VMs that hear few others share nothing worth the name: parts of a request a
-   * second, at sixty VMs. Each may use its part of what all may use in a window
-   * instead, what it used before counted in. Otherwise nobody would be served
-   * for a second after all VMs were lost, or while a region's hub is replaced.
+   * VMs that hear from few others have too small a common share: at sixty VMs a
+   * fraction of a request a second. Each of them may instead use its own share
+   * of what the limit allows in a window, less what it used in that window.
+   * Otherwise nothing would be served for a second after all VMs restarted, or
+   * while the hub of a region is replaced.
    */
-  #isWithinOwnPart(usage: Usage, ratePerS: number, burst: number): boolean {
-    if (usage.part >= SCATTERED_PART) return false;
-    const { margin, getOwnShare: getOwnPart } = this.#parts;
+  #isWithinOwnShare(usage: Usage, ratePerS: number, burst: number): boolean {
+    if (usage.share >= MIN_COMMON_SHARE) return false;
+    const { margin, getOwnShare } = this.#options;
     const allowed = ratePerS * margin.windowMs / 1_000 + burst;
-    const most = allowed * (1 + margin.ratio) + margin.allowance;
-    return usage.window.count() + 1 <= OWN_PART * most * getOwnPart();
+    const bound = allowed * (1 + margin.ratio) + margin.allowance;
+    return usage.window.count() + 1 <= OWN_SHARE_FACTOR * bound * getOwnShare();
   }
 
   #isWithin(usage: Usage, ratePerS: number, burst: number): boolean {
-    const { bucket, part, own, others } = usage;
+    const { bucket, share, own, others } = usage;
     if (bucket.level < 1) return false;
     const othersPerS = others.getPerS();
     const reserve = Math.min(
-      othersPerS * NEWS_LAG_S,
-      ratePerS * part * NEWS_LAG_S,
-      burst * part * MAX_RESERVE_PART,
+      othersPerS * REPORT_DELAY_S,
+      ratePerS * share * REPORT_DELAY_S,
+      burst * share * MAX_RESERVE_RATIO,
     );
-    const allowedPerS = ratePerS * part + (bucket.level - reserve) / SETTLE_S;
+    const allowedPerS = ratePerS * share +
+      (bucket.level - reserve) / CORRECTION_TIME_S;
     const demandPerS = own.getPerS() + othersPerS;
     if (allowedPerS >= demandPerS) return true;
     usage.credit += Math.max(0, allowedPerS / demandPerS);
@@ -227,18 +234,18 @@
     return true;
   }
 
-  /** Callers that were turned away come back one after the other. */
-  #getReturn(usage: Usage, ratePerS: number): number {
-    const nowMs = this.#parts.clock.monotonicMs();
+  /** Spreads the retries of refused callers over time, by the allowed rate. */
+  #scheduleRetry(usage: Usage, ratePerS: number): number {
+    const nowMs = this.#options.clock.monotonicMs();
     const ownPerS = usage.own.getPerS();
     const demandPerS = ownPerS + usage.others.getPerS();
-    const sharePerS = ratePerS * usage.part * ownPerS / demandPerS;
+    const ownRatePerS = ratePerS * usage.share * ownPerS / demandPerS;
     const missing = Math.max(0, 1 - usage.bucket.level);
-    const earliestMs = nowMs + missing * 1_000 / (ratePerS * usage.part);
+    const earliestMs = nowMs + missing * 1_000 / (ratePerS * usage.share);
     const latestMs = nowMs + MAX_RETRY_MS;
     usage.returnAtMs = Math.min(
       latestMs,
-      Math.max(earliestMs, usage.returnAtMs) + 1_000 / sharePerS,
+      Math.max(earliestMs, usage.returnAtMs) + 1_000 / ownRatePerS,
     );
     return Math.max(MIN_RETRY_MS, Math.round(usage.returnAtMs - nowMs));
   }
--- a/src/limits/shares.ts
+++ b/src/limits/shares.ts
@@ -1,82 +1,88 @@
 /**
- * Which part of every limit this VM and those that it hears from hold.
+ * The share of every limit that this VM and the VMs it hears from hold
+ * together.
  *
- * A VM that is silent may be down, or cut off and serving: nobody can tell, so
- * its part stays with it.
+ * A silent VM may be down, or partitioned and still serving. Since these can't
+ * be told apart, its share is not given to other VMs.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** Who is heard from. */
+/** Tracks which VMs are reachable, and the share of the limits they hold. */
 export interface LimitShares {
   /**
-   * @param source Who speaks.
-   * @param vms For how many VMs.
+   * Records a message from a VM, or from a relay on behalf of several.
+   *
+   * @param source The sender.
+   * @param vms Number of VMs that the sender speaks for.
    */
   recordHeartbeat(source: string, vms: number): void;
-  /** @returns VMs that are heard from, this one included. */
+  /** @returns Number of VMs that are heard from, this one included. */
   countReachable(): number;
-  /** @returns The part, 0 to 1. */
+  /** @returns The share of all reachable VMs together, 0 to 1. */
   getShare(): number;
-  /** @returns The part that this VM holds alone. */
+  /** @returns The share that this VM holds alone, 0 to 1. */
   getOwnShare(): number;
-  /** @returns For how long no other VM with much of a part was new here. */
+  /** @returns Time in ms since the share last grew significantly. */
   getStableMs(): number;
 }
 
-/** Sources speak twice as often at least, and a way between regions late. */
+/**
+ * Time without a message after which a sender counts as unreachable. Senders
+ * send at least twice in this time, the delay between regions included.
+ */
 export const HEARTBEAT_TIMEOUT_MS = 1_000;
 
-/** The part has grown by much when it is this many times what it was. */
-const MUCH_GROWN = 1.1;
+/** Factor by which the share has to grow for that to be significant. */
+const GROWTH_FACTOR = 1.1;
 
 /**
  * @param clock The clock.
- * @param countKnown VMs that may serve, this one included.
- * @returns A pool in which nobody else is heard from.
+ * @param countKnown Number of VMs that may serve, this one included.
+ * @returns Shares with no other VM reachable.
  */
 export function createLimitShares(
   clock: Clock,
   countKnown: () => number,
 ): LimitShares {
-  let settledPart = 0;
-  let settledAtMs = clock.monotonicMs();
+  let stableShare = 0;
+  let stableAtMs = clock.monotonicMs();
   const sources = new Map<string, { vms: number; atMs: number }>();
 
-  function countHeard(): number {
+  function countReachable(): number {
     const limitMs = clock.monotonicMs() - HEARTBEAT_TIMEOUT_MS;
     let vms = 1;
-    for (const [source, heard] of sources) {
-      if (heard.atMs < limitMs) sources.delete(source);
-      else vms += heard.vms;
+    for (const [source, heartbeat] of sources) {
+      if (heartbeat.atMs < limitMs) sources.delete(source);
+      else vms += heartbeat.vms;
     }
     return vms;
   }
 
-  function getPart(): number {
-    const heard = countHeard();
-    return heard / Math.max(heard, countKnown());
+  function getShare(): number {
+    const reachable = countReachable();
+    return reachable / Math.max(reachable, countKnown());
   }
 
-  function settle(): void {
-    const part = getPart();
-    if (part > MUCH_GROWN * settledPart) settledAtMs = clock.monotonicMs();
-    else if (part >= settledPart) return;
-    settledPart = part;
+  function updateStability(): void {
+    const share = getShare();
+    if (share > GROWTH_FACTOR * stableShare) stableAtMs = clock.monotonicMs();
+    else if (share >= stableShare) return;
+    stableShare = share;
   }
 
   return {
     recordHeartbeat(source, vms) {
       sources.set(source, { vms, atMs: clock.monotonicMs() });
-      settle();
+      updateStability();
     },
-    countReachable: countHeard,
-    getShare: getPart,
+    countReachable,
+    getShare,
     getStableMs() {
-      settle();
-      return clock.monotonicMs() - settledAtMs;
+      updateStability();
+      return clock.monotonicMs() - stableAtMs;
     },
-    getOwnShare: () => 1 / Math.max(countHeard(), countKnown()),
+    getOwnShare: () => 1 / Math.max(countReachable(), countKnown()),
   };
 }
--- a/src/limits/usage_encoding.ts
+++ b/src/limits/usage_encoding.ts
@@ -1,31 +1,30 @@
 /**
- * Usage of limits as it travels: five times a second between all VMs, so
- * without names of fields, and with what was turned away only where there was
- * any.
+ * Wire encoding of limit usage. VMs exchange it five times a second, so it has
+ * no field names, and the number of refused requests is left out where it is 0.
  *
  * @module
  */
 import * as z from "zod";
 import type { LimitUsage } from "./limiter.ts";
 
-const MAX_NAME = 200;
-const MAX_HOLDERS = 100_000;
+const MAX_NAME_LENGTH = 200;
+const MAX_SUBJECTS = 100_000;
 
-const holderName = z.string().max(MAX_NAME);
+const subjectName = z.string().max(MAX_NAME_LENGTH);
 const requests = z.number().int();
 
-/** Checks usage: whose, what was spent, and what was asked beyond that. */
+/** Validates usage tuples: subject, requests that ran, requests refused. */
 export const usageSchema = z.array(z.union([
-  z.tuple([holderName, requests]),
-  z.tuple([holderName, requests, requests]),
-])).max(MAX_HOLDERS);
+  z.tuple([subjectName, requests]),
+  z.tuple([subjectName, requests, requests]),
+])).max(MAX_SUBJECTS);
 
-/** Usage as it travels. */
+/** Usage in its wire encoding. */
 export type EncodedUsage = z.infer<typeof usageSchema>;
 
 /**
- * @param usage What was used.
- * @returns It as it travels.
+ * @param usage Usage of limits.
+ * @returns The usage in its wire encoding.
  */
 export function encodeUsage(usage: readonly LimitUsage[]): EncodedUsage {
   return usage.map(({ name, asked, spent }) =>
@@ -34,13 +33,13 @@
 }
 
 /**
- * @param packed Usage as it travelled.
- * @returns What was used.
+ * @param encoded Usage in its wire encoding.
+ * @returns Usage of limits.
  */
-export function decodeUsage(packed: EncodedUsage): LimitUsage[] {
-  return packed.map(([name, spent, beyond = 0]) => ({
+export function decodeUsage(encoded: EncodedUsage): LimitUsage[] {
+  return encoded.map(([name, spent, refused = 0]) => ({
     name,
-    asked: spent + beyond,
+    asked: spent + refused,
     spent,
   }));
 }
--- a/src/limits/usage_sharing.ts
+++ b/src/limits/usage_sharing.ts
@@ -1,10 +1,9 @@
 /**
- * Tells other VMs what was used of limits here, and takes in what they used
- * there.
+ * Exchanges limit usage between VMs.
  *
- * In a small fleet VMs tell each other. In a large one they tell the first hub
- * of their region, which tells the sums on: to each VM of the region what all
- * others used, to the other regions what its own used.
+ * In a small fleet every VM sends to every other. In a large fleet VMs send to
+ * the first hub of their region, which relays sums: to each VM of the region
+ * the usage of all other VMs, and to the other regions the usage of its own.
  *
  * @module
  */
@@ -14,43 +13,45 @@
 import type { LimitUsage, RateLimiter } from "./limiter.ts";
 import { HEARTBEAT_TIMEOUT_MS, type LimitShares } from "./shares.ts";
 
-/** For whom a message speaks: a VM, a region, or all but the receiver. */
+/** Whose usage a message holds: a VM's, a region's, or all but the receiver's. */
 export type UsageScope = "vm" | "region" | "rest";
 
-/** What was used since the last message. */
+/** Usage since the sender's previous message. */
 export interface UsageUpdate {
   scope: UsageScope;
-  /** For how many VMs the sender speaks. */
+  /** Number of VMs that the sender speaks for. */
   vms: number;
   usage: LimitUsage[];
 }
 
-/** What sharing needs. */
+/** Dependencies of `startUsageSharing`. */
 export interface UsageSharingOptions {
   self: VmIdentity;
   clock: Clock;
   limiter: RateLimiter;
   limitShares: LimitShares;
-  /** Whether there is any limit. */
+  /** Whether any limit is in force. */
   hasLimits: () => boolean;
-  /** Other VMs that are up. */
+  /** Lists the other VMs that are up. */
   listPeers: () => VmIdentity[];
   getTopology: () => Topology;
-  send: (vmIds: readonly string[], news: UsageUpdate) => void;
+  send: (vmIds: readonly string[], update: UsageUpdate) => void;
 }
 
-/** Shares usage. */
+/** A running exchange of limit usage. */
 export interface UsageSharing {
-  receive(from: VmIdentity, news: UsageUpdate): void;
+  /** Accounts for the usage in a message from another VM. */
+  receive(from: VmIdentity, update: UsageUpdate): void;
+  /** Stops sending. */
   stop(): void;
 }
 
-/** Pause in which usage gathers. */
-const PAUSE_MS = 200;
-/** Where nothing was used, that is said this often, to be heard. */
-const SILENT_MS = 400;
+/** Interval at which usage is sent. */
+const SEND_INTERVAL_MS = 200;
+/** Interval of messages without usage, which serve as heartbeats. */
+const HEARTBEAT_INTERVAL_MS = 400;
 
-/** Adds usage up by limit. */
+/** Sums usage by limit. */
 function createTally() {
   const totals = new Map<string, LimitUsage>();
   return {
@@ -70,32 +71,34 @@
 }
 
 /**
- * @param parts What sharing needs.
+ * @param options Dependencies of the exchange.
  * @returns The running exchange.
  */
-export function startUsageSharing(parts: UsageSharingOptions): UsageSharing {
-  const { self, clock, limiter, limitShares: pool, send } = parts;
-  /** What members of this region told since the last time, by VM. */
-  let ofMembers = new Map<string, LimitUsage[]>();
-  let ofRegions: LimitUsage[] = [];
+export function startUsageSharing(options: UsageSharingOptions): UsageSharing {
+  const { self, clock, limiter, limitShares, send } = options;
+  /** Usage received from VMs of this region and not relayed yet, by VM. */
+  let usageByMember = new Map<string, LimitUsage[]>();
+  /** Usage received from other regions and not relayed yet. */
+  let usageOfRegions: LimitUsage[] = [];
   const memberHeardAtMs = new Map<string, number>();
-  const toldAtMs = new Map<string, number>();
+  const sentAtMs = new Map<string, number>();
 
   function isRelay(): boolean {
-    return !parts.getTopology().isFullMesh &&
-      findRelay(parts.getTopology(), self.region) === self.id;
+    return !options.getTopology().isFullMesh &&
+      findRelay(options.getTopology(), self.region) === self.id;
   }
 
-  function tell(
+  function sendUpdate(
     key: string,
     vmIds: readonly string[],
-    news: UsageUpdate,
+    update: UsageUpdate,
   ): void {
     const nowMs = clock.monotonicMs();
-    const isSilent = nowMs - (toldAtMs.get(key) ?? -Infinity) < SILENT_MS;
-    if (vmIds.length === 0 || news.usage.length === 0 && isSilent) return;
-    toldAtMs.set(key, nowMs);
-    send(vmIds, news);
+    const isRecent =
+      nowMs - (sentAtMs.get(key) ?? -Infinity) < HEARTBEAT_INTERVAL_MS;
+    if (vmIds.length === 0 || update.usage.length === 0 && isRecent) return;
+    sentAtMs.set(key, nowMs);
+    send(vmIds, update);
   }
 
   function listMembers(): string[] {
@@ -106,77 +109,84 @@
     return [...memberHeardAtMs.keys()];
   }
 
-  function relayOn(own: LimitUsage[]): void {
+  function relayUsage(own: LimitUsage[]): void {
     const members = listMembers();
     const region = createTally();
     region.add(own);
-    for (const usage of ofMembers.values()) region.add(usage);
-    const ofRegion = region.list();
+    for (const usage of usageByMember.values()) region.add(usage);
+    const usageOfRegion = region.list();
     for (const id of members) {
       const rest = createTally();
-      rest.add(ofRegion);
-      rest.add(ofRegions);
-      rest.add(ofMembers.get(id) ?? [], -1);
-      const vms = pool.countReachable() - 1;
-      tell(id, [id], { scope: "rest", vms, usage: rest.list() });
+      rest.add(usageOfRegion);
+      rest.add(usageOfRegions);
+      rest.add(usageByMember.get(id) ?? [], -1);
+      const vms = limitShares.countReachable() - 1;
+      sendUpdate(id, [id], { scope: "rest", vms, usage: rest.list() });
     }
-    for (const other of parts.getTopology().hubs.keys()) {
-      const relay = findRelay(parts.getTopology(), other);
+    for (const other of options.getTopology().hubs.keys()) {
+      const relay = findRelay(options.getTopology(), other);
       if (other === self.region || relay === undefined) continue;
       const vms = 1 + members.length;
-      tell(relay, [relay], { scope: "region", vms, usage: ofRegion });
+      sendUpdate(relay, [relay], {
+        scope: "region",
+        vms,
+        usage: usageOfRegion,
+      });
     }
-    ofMembers = new Map();
-    ofRegions = [];
+    usageByMember = new Map();
+    usageOfRegions = [];
   }
 
   function share(): void {
-    if (!parts.hasLimits()) return;
+    if (!options.hasLimits()) return;
     const own = limiter.takeUsage();
-    if (isRelay()) return relayOn(own);
-    const news: UsageUpdate = { scope: "vm", vms: 1, usage: own };
-    if (parts.getTopology().isFullMesh) {
-      return tell("all", parts.listPeers().map(({ id }) => id), news);
+    if (isRelay()) return relayUsage(own);
+    const update: UsageUpdate = { scope: "vm", vms: 1, usage: own };
+    if (options.getTopology().isFullMesh) {
+      return sendUpdate("all", options.listPeers().map(({ id }) => id), update);
     }
-    const relay = findRelay(parts.getTopology(), self.region);
-    if (relay !== undefined) tell(relay, [relay], news);
+    const relay = findRelay(options.getTopology(), self.region);
+    if (relay !== undefined) sendUpdate(relay, [relay], update);
   }
 
   /**
-   * Whether the sender is whom this VM listens to. Where VMs differ about who
-   * sums up, nothing may count twice: what is left out is not heard from, and
-   * keeps its part of the limits.
+   * Whether this VM accepts usage from a sender. While VMs disagree about which
+   * of them is the relay, no usage may be counted twice. A sender that is not
+   * accepted counts as silent, and keeps its share of the limits.
    */
   function isExpected({ id, region }: VmIdentity, scope: UsageScope): boolean {
-    if (parts.getTopology().isFullMesh) return scope === "vm";
+    if (options.getTopology().isFullMesh) return scope === "vm";
     if (scope === "rest") {
-      return id === findRelay(parts.getTopology(), self.region);
+      return id === findRelay(options.getTopology(), self.region);
     }
     if (!isRelay()) return false;
     return scope === "vm"
       ? region === self.region
-      : id === findRelay(parts.getTopology(), region);
+      : id === findRelay(options.getTopology(), region);
   }
 
-  function receiveOfMember(id: string, usage: LimitUsage[]): void {
+  function receiveFromMember(id: string, usage: LimitUsage[]): void {
     memberHeardAtMs.set(id, clock.monotonicMs());
-    const before = ofMembers.get(id);
-    if (before === undefined) return void ofMembers.set(id, usage);
-    const both = createTally();
-    both.add(before);
-    both.add(usage);
-    ofMembers.set(id, both.list());
+    const pending = usageByMember.get(id);
+    if (pending === undefined) return void usageByMember.set(id, usage);
+    const sum = createTally();
+    sum.add(pending);
+    sum.add(usage);
+    usageByMember.set(id, sum.list());
   }
 
-  const timer = clock.every(PAUSE_MS, share);
+  const timer = clock.every(SEND_INTERVAL_MS, share);
   return {
     receive(from, { scope, vms, usage }) {
       if (!isExpected(from, scope)) return;
       limiter.receive(usage);
-      pool.recordHeartbeat(scope === "region" ? from.region : from.id, vms);
+      limitShares.recordHeartbeat(
+        scope === "region" ? from.region : from.id,
+        vms,
+      );
       if (!isRelay()) return;
-      if (scope === "vm") receiveOfMember(from.id, usage);
-      else ofRegions.push(...usage);
+      if (scope === "vm") receiveFromMember(from.id, usage);
+      else usageOfRegions.push(...usage);
     },
     stop: () => timer.cancel(),
   };
