--- a/src/limits/model/scenarios.ts
+++ b/src/limits/model/scenarios.ts
@@ -74,23 +74,23 @@
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "region cut, far over",
-      isCut: isBergenPartitioned,
+      isPartitioned: isBergenPartitioned,
     }),
     makeScenario(vms, ratePerS, NORMAL, {
       name: "region cut, usual",
-      isCut: isBergenPartitioned,
+      isPartitioned: isBergenPartitioned,
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "each VM on its own, far over",
-      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     makeScenario(vms, ratePerS, NORMAL, {
       name: "each VM on its own, usual",
-      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all regions cut, far over",
-      isCut: (from, to, nowMs) => isPartitionTime(nowMs) && from !== to,
+      isPartitioned: (from, to, nowMs) => isPartitionTime(nowMs) && from !== to,
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all restart, far over",
@@ -167,13 +167,13 @@
     }),
     make({
       name: "its region cut off",
-      isCut: (from, to, nowMs) =>
+      isPartitioned: (from, to, nowMs) =>
         isPartitionTime(nowMs) && from !== to &&
         (from === "oslo" || to === "oslo"),
     }),
     make({
       name: "each VM on its own",
-      isCut: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     make({
       name: "all restart",
--- a/src/limits/model/simulation.ts
+++ b/src/limits/model/simulation.ts
@@ -39,7 +39,7 @@
    */
   getDemandPerS: (vm: number, nowMs: number) => number;
   /** Whether two regions are partitioned from each other. */
-  isCut?: (from: string, to: string, nowMs: number) => boolean;
+  isPartitioned?: (from: string, to: string, nowMs: number) => boolean;
   /** VMs that restart, and when. */
   restarts?: { atMs: number; vms: readonly number[]; downMs: number }[];
   /** Tolerated excess; by default that of client accounts. */
@@ -172,13 +172,15 @@
     const isSameRegion = from.region === to.identity.region;
     const delayMs = isSameRegion ? LOCAL_DELAY_MS : REGION_DELAY_MS;
     const nowMs = clock.monotonicMs() - WARM_UP_MS;
-    if (scenario.isCut?.(from.region, to.identity.region, nowMs)) return;
+    if (scenario.isPartitioned?.(from.region, to.identity.region, nowMs)) {
+      return;
+    }
     clock.after(delayMs, () => {
       if (to.isUp) to.sharing?.receive(from, update);
     });
   }
 
-  function listUp(region: string): string[] {
+  function listRunning(region: string): string[] {
     return vms.filter(({ identity, isUp }) =>
       isUp && identity.region === region
     ).map(({ identity }) => identity.id);
@@ -192,7 +194,7 @@
     if (strategy === "ranked_senders") {
       const limiter = new RankedSenderLimiter(clock, identity.id, {
         region: SUBJECT_REGION,
-        listVms: listUp,
+        listVms: listRunning,
       });
       return { identity, limiter, sharing: undefined, isUp: true };
     }
--- a/src/servers/backoffs.ts
+++ b/src/servers/backoffs.ts
@@ -1,57 +1,59 @@
 /**
- * Backend servers that shed this VM's requests and asked it to back off.
+ * Backend servers that shed requests of this VM and asked it to back off.
  *
  * Load pattern: a third of a service's servers sheds every request for seconds.
- * They look idle, so that they are chosen again and again; what they shed spends
- * the retry budget, and callers are refused while the other servers have room.
+ * They look idle, so they would be chosen again and again. The shed requests
+ * would use up the retry budget, and callers would be refused while the other
+ * servers have spare capacity.
  *
- * Once a backoff is over the server is half-open: a single request probes it, and
- * the others follow when that is taken.
+ * After a backoff the server is half-open, as in a circuit breaker: one request
+ * probes it, and others follow once the server has accepted that one.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 
-/** Backoffs of servers. */
+/** Backoffs of backend servers. */
 export interface ServerBackoffs {
   /**
-   * Notes that a server backoff began; of several ends the latest holds.
+   * Begins or extends a backoff; of several end times the latest applies.
    *
-   * @param server The start of the server.
-   * @param backoffMs For how long, from now on.
+   * @param server Id of the server instance.
+   * @param backoffMs Duration from now on.
    */
   begin(server: string, backoffMs: number): void;
-  /** @returns Time until a server's backoff ends; 0 where it has none. */
+  /** @returns Time in ms until a server's backoff ends; 0 without a backoff. */
   getLeftMs(server: string): number;
   /**
-   * @param server The start of a server that is to get a request.
-   * @returns Whether it may be sent, as a probe or since none is needed.
+   * @param server Id of the server instance that a request would be sent to.
+   * @returns Whether it may be sent, as the probe or because none is needed.
    */
   take(server: string): boolean;
   /**
-   * Notes the end of a request that was sent, or was not.
+   * Records the end of a request that `take` was called for.
    *
-   * @param server The start of the server.
-   * @param wasTaken Whether the server took it.
+   * @param server Id of the server instance.
+   * @param wasAccepted Whether the server accepted it; false if it was not sent.
    */
-  end(server: string, wasTaken: boolean): void;
-  /** @returns Servers with a backoff, and the time until it ends. */
+  end(server: string, wasAccepted: boolean): void;
+  /** @returns Servers in backoff, and the time until it ends. */
   list(): { server: string; leftMs: number }[];
 }
 
-/** A server that was not probed for so long needs no probe. */
+/** Time after its backoff from which a server needs no probe any more. */
 const FORGET_MS = 60_000;
 
 interface Backoff {
   untilMs: number;
+  /** Whether a probe is in progress. */
   isProbed: boolean;
 }
 
 /**
  * @param clock The clock.
  * @param log The log.
- * @returns Backoffs of which none has begun.
+ * @returns An empty set of backoffs.
  */
 export function createServerBackoffs(clock: Clock, log: Log): ServerBackoffs {
   const backoffs = new Map<string, Backoff>();
@@ -89,11 +91,11 @@
       backoff.isProbed = true;
       return true;
     },
-    end(server, wasTaken) {
+    end(server, wasAccepted) {
       const backoff = backoffs.get(server);
       if (backoff === undefined || getLeftMs(server) > 0) return;
       backoff.isProbed = false;
-      if (!wasTaken) return;
+      if (!wasAccepted) return;
       backoffs.delete(server);
       log.info({ server }, "server backoff ended");
     },
--- a/src/servers/backoffs_test.ts
+++ b/src/servers/backoffs_test.ts
@@ -11,7 +11,7 @@
   return { clock, backoffs };
 }
 
-test("a server in backoff gets nothing, others do", () => {
+test("a server in backoff gets no requests, others do", () => {
   const { clock, backoffs } = startBackoff();
   assert.not(backoffs.take("i-1"));
   assert.ok(backoffs.take("i-2"));
@@ -20,7 +20,7 @@
   assert.equal(backoffs.list(), [{ server: "i-1", leftMs: 1 }]);
 });
 
-test("of several ends the latest holds", () => {
+test("of several end times the latest applies", () => {
   const { clock, backoffs } = startBackoff();
   clock.advance(1_000);
   backoffs.begin("i-1", 500);
@@ -29,7 +29,7 @@
   assert.is(backoffs.getLeftMs("i-1"), 5_000);
 });
 
-test("after a backoff one request probes the server, the others follow if it is taken", () => {
+test("after a backoff one request probes the server, others follow if it is accepted", () => {
   const { clock, backoffs } = startBackoff();
   clock.advance(3_000);
   assert.ok(backoffs.take("i-1"));
@@ -39,7 +39,7 @@
   assert.ok(backoffs.take("i-1"));
 });
 
-test("a probe that is shed begins the next backoff, or lets another probe", () => {
+test("a shed probe begins the next backoff, or allows another probe", () => {
   const { clock, backoffs } = startBackoff();
   clock.advance(3_000);
   backoffs.take("i-1");
@@ -52,13 +52,13 @@
   assert.ok(backoffs.take("i-1"));
 });
 
-test("what was sent before and ends meanwhile doesn't end the backoff", () => {
+test("a request that was sent before a backoff doesn't end it", () => {
   const { backoffs } = startBackoff();
   backoffs.end("i-1", true);
   assert.not(backoffs.take("i-1"));
 });
 
-test("a backoff whose server is not probed is forgotten", () => {
+test("a backoff is forgotten if its server is not probed", () => {
   const { clock, backoffs } = startBackoff();
   clock.advance(64_000);
   backoffs.begin("i-2", 1_000);
--- a/src/servers/cold_limit.ts
+++ b/src/servers/cold_limit.ts
@@ -1,24 +1,24 @@
 /**
- * Keeps requests to a cold backend server under its rate, summed over all VMs
- * and without messages between them.
+ * Limits the rate of requests to a cold backend server, summed over all VMs and
+ * without messages between them.
  *
- * Few VMs may send to a cold server: the first two of its region by rendezvous
- * hash. Each spends half of the server's rate. Dividing the rate by all VMs
- * leaves each less than one request a second, and the bursts of twelve VMs add
- * up to more than the server bears.
+ * Only a few VMs may send to a cold server: the first two of its region by
+ * rendezvous hashing, each at half of the server's rate. If the rate were
+ * divided by all VMs, each would get less than one request a second, and the
+ * bursts of twelve VMs would add up to more than the server can handle.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 import { hashToUnit } from "../runtime/hash.ts";
 
-/** Spends the rate of cold servers. */
+/** Limits the rate of requests to cold servers. */
 export interface ColdLimit {
   /**
-   * Takes one request's worth if this VM may send it.
+   * Takes one request from the limit of a cold server, if this VM may send it.
    *
    * @param serverId The cold server.
-   * @param ratePerS What it bears a second, from all VMs.
+   * @param ratePerS Requests a second that it can handle, from all VMs.
    * @param region Its region.
    * @returns Whether the request may be sent.
    */
@@ -26,12 +26,12 @@
 }
 
 /** VMs that may send to one cold server. */
-const SENDERS = 2;
+const SENDERS_PER_SERVER = 2;
 /**
- * Share of the rate that is spent. The rest covers requests that arrive
- * closer together than they were sent, and a VM that sees other members.
+ * Share of the rate that is used. The rest covers requests that arrive closer
+ * together than they were sent, and VMs that see a different set of members.
  */
-const SPENT_SHARE = 0.9;
+const USED_SHARE = 0.9;
 /** Requests that may be sent at once. */
 const BURST = 1.5;
 
@@ -40,20 +40,20 @@
   atMs: number;
 }
 
-/** What the limit needs to know of the VMs. */
+/** Dependencies of `createColdLimit`. */
 export interface ColdLimitOptions {
   clock: Clock;
   ownId: string;
-  /** Ids of the VMs that run in a region, this one's included. */
+  /** Lists ids of the VMs that run in a region, with this one's if it does. */
   listVms: (region: string) => readonly string[];
 }
 
 /**
- * @param parts Clock and VMs.
- * @returns A limit of which nothing is spent.
+ * @param options Dependencies of the limit.
+ * @returns A limit of which nothing is used.
  */
-export function createColdLimit(parts: ColdLimitOptions): ColdLimit {
-  const { clock, ownId, listVms } = parts;
+export function createColdLimit(options: ColdLimitOptions): ColdLimit {
+  const { clock, ownId, listVms } = options;
   const buckets = new Map<string, Bucket>();
 
   function isSender(serverId: string, region: string): boolean {
@@ -63,7 +63,7 @@
     const before = vms.filter((vm) =>
       vm !== ownId && hashToUnit(`${serverId} ${vm}`) < ownRank
     );
-    return before.length < SENDERS;
+    return before.length < SENDERS_PER_SERVER;
   }
 
   function take(
@@ -74,7 +74,7 @@
     if (!isSender(serverId, region)) return false;
     const nowMs = clock.monotonicMs();
     const bucket = buckets.get(serverId) ?? { tokens: 1, atMs: nowMs };
-    const ownRatePerS = ratePerS * SPENT_SHARE / SENDERS;
+    const ownRatePerS = ratePerS * USED_SHARE / SENDERS_PER_SERVER;
     const gained = (nowMs - bucket.atMs) / 1_000 * ownRatePerS;
     bucket.tokens = Math.min(BURST, bucket.tokens + gained);
     bucket.atMs = nowMs;
--- a/src/servers/crash_check.ts
+++ b/src/servers/crash_check.ts
@@ -1,39 +1,39 @@
 /**
- * Tells a backend server that ended from one connection that broke.
+ * Tells the crash of a backend server from the loss of a single connection.
  *
- * Only the network, a full server or a faulty answer may be behind a broken
- * connection. A server that ended has nobody listening at its address.
+ * A broken connection alone may be due to the network, an overloaded server or
+ * a faulty answer. After a crash nothing listens at the server's address.
  *
  * @module
  */
 import type { Dial } from "../runtime/dial.ts";
 
-/** A server that can be looked for. */
+/** A server that can be checked. */
 export interface ServerAddress {
   id: string;
   /** `host:port`. */
   address: string;
 }
 
-/** What is behind a connection that ended without an answer. */
+/** Likely cause of a connection that ended without an answer. */
 export type CrashVerdict =
-  /** The server is gone. */
+  /** The server refuses connections: it crashed or was stopped. */
   | "ended"
-  /** The server takes connections. */
+  /** The server accepts connections. */
   | "runs"
-  /** Nothing answers, as where the network is cut. */
+  /** No response, for instance because of a network partition. */
   | "unclear";
 
-/** Looks after servers whose connections broke. */
+/** Checks servers whose connections broke. */
 export interface CrashCheck {
   /**
    * @param server A server on which a connection ended without an answer.
-   * @returns What is behind it.
+   * @returns Whether the server crashed.
    */
   check(server: ServerAddress): Promise<CrashVerdict>;
 }
 
-/** Twice the way to another region and back, of 70 ms. */
+/** Twice the round trip to another region, of 70 ms. */
 const DIAL_TIMEOUT_MS = 150;
 
 const VERDICTS = {
@@ -44,13 +44,13 @@
 
 /**
  * @param dial Opens connections.
- * @returns A check that looks once for all requests that a server drops at the
- *   same time.
+ * @returns A check that dials a server once for all requests whose connections
+ *   break at the same time.
  */
 export function createCrashCheck(dial: Dial): CrashCheck {
   const running = new Map<string, Promise<CrashVerdict>>();
 
-  async function look({ id, address }: ServerAddress): Promise<CrashVerdict> {
+  async function probe({ id, address }: ServerAddress): Promise<CrashVerdict> {
     const result = await dial(address, DIAL_TIMEOUT_MS);
     running.delete(id);
     return VERDICTS[result];
@@ -58,9 +58,9 @@
 
   return {
     check(server) {
-      const known = running.get(server.id);
-      if (known !== undefined) return known;
-      const verdict = look(server);
+      const pending = running.get(server.id);
+      if (pending !== undefined) return pending;
+      const verdict = probe(server);
       running.set(server.id, verdict);
       return verdict;
     },
--- a/src/servers/draining_instances.ts
+++ b/src/servers/draining_instances.ts
@@ -1,53 +1,53 @@
 /**
- * Starts of backend servers that announced in an answer that they drain.
+ * Instances of backend servers that announced their drain in an answer.
  *
  * An announcement overrides the register, which may list the server as ready
- * while the store is away, and anew once it is back.
+ * while the store is unreachable, and again once it is back.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** Starts that drain. */
+/** Server instances that are draining. */
 export interface DrainingInstances {
   /**
-   * @param start The start of a server.
-   * @returns Whether this is new.
+   * @param instance Id of a server instance.
+   * @returns Whether it was not in the set yet.
    */
-  add(start: string): boolean;
-  has(start: string): boolean;
-  /** @returns How many there are. */
+  add(instance: string): boolean;
+  has(instance: string): boolean;
+  /** @returns Number of draining instances. */
   count(): number;
 }
 
-/** A server that drains is gone by then; one that isn't announces it again. */
+/** Drains end earlier; an instance that still drains announces it again. */
 const FORGET_MS = 600_000;
-const MAX_STARTS = 4_096;
+const MAX_INSTANCES = 4_096;
 
 /**
  * @param clock The clock.
- * @returns A set without starts.
+ * @returns An empty set.
  */
 export function createDrainingInstances(clock: Clock): DrainingInstances {
-  /** When each was added, the oldest first. */
+  /** When each instance was added, the oldest first. */
   const addedAtMs = new Map<string, number>();
 
   function forgetOld(): void {
     const limitMs = clock.monotonicMs() - FORGET_MS;
-    for (const [start, atMs] of addedAtMs) {
-      if (atMs > limitMs && addedAtMs.size <= MAX_STARTS) return;
-      addedAtMs.delete(start);
+    for (const [instance, atMs] of addedAtMs) {
+      if (atMs > limitMs && addedAtMs.size <= MAX_INSTANCES) return;
+      addedAtMs.delete(instance);
     }
   }
 
   return {
-    add(start) {
-      if (addedAtMs.has(start)) return false;
-      addedAtMs.set(start, clock.monotonicMs());
+    add(instance) {
+      if (addedAtMs.has(instance)) return false;
+      addedAtMs.set(instance, clock.monotonicMs());
       forgetOld();
       return true;
     },
-    has: (start) => addedAtMs.has(start),
+    has: (instance) => addedAtMs.has(instance),
     count() {
       forgetOld();
       return addedAtMs.size;
--- a/src/servers/health.ts
+++ b/src/servers/health.ts
@@ -1,56 +1,57 @@
 /**
- * Judges a backend server by how requests to it end; nothing is probed, since
- * a health check takes a slot like any other request.
+ * Passive health checks: a backend server's health is derived from the outcome
+ * of requests. It is not probed, since a probe would take up a slot like any
+ * other request.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** How a request to a server ended, as far as the server is to blame. */
+/** Outcome of a request, as far as the server is responsible for it. */
 export type ServerOutcome =
-  /** A whole answer that is no error. */
+  /** A complete answer without a server error. */
   | "answered"
-  /** It said that it is full; says nothing about faults. */
+  /** Rejected for lack of capacity; not a failure. */
   | "shed"
-  /** A 5xx of its own, or an answer that was cut, spoiled or crossed. */
+  /** A 5xx of its own, or an answer truncated, garbled or of another request. */
   | "failed"
-  /** No connection, or silence on all its connections. */
+  /** No connection, or no response on any connection. */
   | "unreachable";
 
-/** What this VM believes of one server's health. */
+/** This VM's view of one server's health. */
 export interface ServerHealth {
-  /** Notes the end of a request. */
+  /** Records the outcome of a request. */
   recordOutcome(outcome: ServerOutcome): void;
   /**
    * @param sinceMs A time on the monotonic clock.
-   * @returns Whether anything came from the server since then.
+   * @returns Whether the server has responded in any way since then.
    */
   hasRespondedSince(sinceMs: number): boolean;
-  /** @returns Whether it is kept out of the choice for now. */
+  /** @returns Whether the server gets no requests for now. */
   isEjected(): boolean;
-  /** @returns Whether it was kept out and has not answered since. */
+  /** @returns Whether it was ejected and has not answered since. */
   isDown(): boolean;
   /** @returns Share of recent requests that failed, 0 to 1. */
   getFailureShare(): number;
 }
 
-/** Failures in a row after which a server is taken out. */
+/** Consecutive unreachable outcomes after which a server is ejected. */
 const UNREACHABLE_LIMIT = 2;
 const FIRST_EJECTION_MS = 500;
 const MAX_EJECTION_MS = 4_000;
-/** Weight of one outcome; about the last eight requests count. */
+/** Weight of one outcome in the moving average of about eight requests. */
 const OUTCOME_WEIGHT = 0.12;
 
 /**
  * @param clock The clock.
- * @returns The health of a server that nothing is known of.
+ * @returns The health of a server without requests so far.
  */
 export function createServerHealth(clock: Clock): ServerHealth {
   let failureShare = 0;
-  let unreachableInRow = 0;
+  let consecutiveUnreachable = 0;
   let ejections = 0;
   let ejectedUntilMs = 0;
-  let heardAtMs = -Infinity;
+  let respondedAtMs = -Infinity;
 
   function eject(): void {
     const durationMs = FIRST_EJECTION_MS * 2 ** Math.min(ejections, 8);
@@ -59,23 +60,23 @@
       Math.min(durationMs, MAX_EJECTION_MS);
   }
 
-  function note(outcome: ServerOutcome): void {
-    if (outcome !== "unreachable") heardAtMs = clock.monotonicMs();
+  function recordOutcome(outcome: ServerOutcome): void {
+    if (outcome !== "unreachable") respondedAtMs = clock.monotonicMs();
     if (outcome === "shed") return;
     const isFailure = outcome !== "answered";
     failureShare += OUTCOME_WEIGHT * ((isFailure ? 1 : 0) - failureShare);
     if (outcome !== "unreachable") {
-      unreachableInRow = 0;
+      consecutiveUnreachable = 0;
       if (outcome === "answered") ejections = 0;
       return;
     }
-    unreachableInRow++;
-    if (unreachableInRow >= UNREACHABLE_LIMIT) eject();
+    consecutiveUnreachable++;
+    if (consecutiveUnreachable >= UNREACHABLE_LIMIT) eject();
   }
 
   return {
-    recordOutcome: note,
-    hasRespondedSince: (sinceMs) => heardAtMs >= sinceMs,
+    recordOutcome,
+    hasRespondedSince: (sinceMs) => respondedAtMs >= sinceMs,
     isEjected: () => clock.monotonicMs() < ejectedUntilMs,
     isDown: () => ejections > 0,
     getFailureShare: () => failureShare,
--- a/src/servers/load.ts
+++ b/src/servers/load.ts
@@ -1,57 +1,59 @@
 /**
- * How busy a backend server is: this VM's own requests there, exactly, those
- * that other VMs tell of, and the rest from what the server last told.
+ * Load of a backend server: the exact number of this VM's own requests there,
+ * the requests that other VMs report, and an estimate of the rest from the
+ * server's last report.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 
-/** What a server tells of itself with an answer. */
+/** Load that a server reports with an answer. */
 export interface LoadReport {
   running: number;
   waiting: number;
+  /** Requests that the server runs at once. */
   slots: number;
 }
 
-/** The load of one server as this VM sees it. */
+/** This VM's estimate of the load of one server. */
 export interface ServerLoad {
-  /** Notes a request that is sent. */
+  /** Records that a request is sent. */
   begin(): void;
-  /** Notes its end. */
+  /** Records the end of a request. */
   end(): void;
-  /** Notes what the server told, before `end` of that request. */
+  /** Records a server's report, before `end` of the request it came with. */
   report(report: LoadReport): void;
-  /** @returns This VM's requests there. */
+  /** @returns This VM's requests at the server. */
   getOwn(): number;
-  /** @returns Requests there from all VMs, running and waiting. */
+  /** @returns Requests at the server from all VMs, running and waiting. */
   getTotal(): number;
-  /** @returns Requests there for each slot. */
+  /** @returns Requests per slot. */
   getUtilization(): number;
-  /** @returns Requests that it runs at once. */
+  /** @returns Requests that the server runs at once. */
   getSlots(): number;
 }
 
-/** Where else a load is known from. */
+/** Other sources that the load is estimated from. */
 export interface LoadSources {
-  /** Requests there that other VMs tell of. */
+  /** Requests at the server that other VMs report. */
   getReported: () => number;
-  /** How long requests at such servers last; undefined before the first. */
+  /** Mean run time of the service's requests; undefined before the first. */
   getMeanRunMs: () => number | undefined;
 }
 
-/** Weight of a report against the ones before it; reports swing by chance. */
+/** Weight of a report against earlier ones, since single reports vary. */
 const REPORT_WEIGHT = 0.5;
 /**
- * Half of what a report told of is over after about one run. With a second for
- * runs of two, a fifth of the load was seen: at 1.5 requests a slot and more
- * 0.52 was believed.
+ * The reported load decays with a half-life of about one run. A half-life of 1 s
+ * with runs of 2 s found only a fifth of the load: the estimate was 0.52 where
+ * there were 1.5 requests per slot and more.
  */
 const MIN_REPORT_HALF_LIFE_MS = 1_000;
 
 /**
  * @param listedSlots Slots that the register lists.
  * @param clock The clock.
- * @param sources What else is known of its load.
+ * @param sources Other sources to estimate the load from.
  * @returns The load of a server without requests.
  */
 export function createServerLoad(
@@ -62,23 +64,23 @@
   let slots = Math.max(1, listedSlots);
   let own = 0;
   /**
-   * Requests that nobody tells of. Below 0 where a VM told of some that had
-   * ended by then: only then is the mean of many reports right.
+   * Requests that no VM reports. May be below 0, where a VM reported requests
+   * that had ended meanwhile; otherwise the mean of many reports would be wrong.
    */
-  let untold = 0;
+  let unreported = 0;
   let reportedAtMs = 0;
 
-  function getUntold(): number {
+  function getUnreported(): number {
     const ageMs = clock.monotonicMs() - reportedAtMs;
     const halfLifeMs = Math.max(
       MIN_REPORT_HALF_LIFE_MS,
       sources.getMeanRunMs() ?? 0,
     );
-    return untold * 0.5 ** (ageMs / halfLifeMs);
+    return unreported * 0.5 ** (ageMs / halfLifeMs);
   }
 
   function getTotal(): number {
-    return Math.max(own, own + sources.getReported() + getUntold());
+    return Math.max(own, own + sources.getReported() + getUnreported());
   }
 
   return {
@@ -87,9 +89,10 @@
     report(report) {
       if (report.slots > 0) slots = report.slots;
       const total = report.running + report.waiting;
-      const told = sources.getReported();
-      const seen = Math.max(-told, total - own - told);
-      untold = getUntold() * (1 - REPORT_WEIGHT) + seen * REPORT_WEIGHT;
+      const reported = sources.getReported();
+      const rest = Math.max(-reported, total - own - reported);
+      unreported = getUnreported() * (1 - REPORT_WEIGHT) +
+        rest * REPORT_WEIGHT;
       reportedAtMs = clock.monotonicMs();
     },
     getOwn: () => own,
--- a/src/servers/permits_test.ts
+++ b/src/servers/permits_test.ts
@@ -8,7 +8,7 @@
 
 const SERVER = makeServer("i-1", { slots: 4 });
 
-/** One VM alone, to which a server that runs for 100 ms advertised a rate limit. */
+/** A single VM, to which a server with runs of 100 ms advertised a rate limit. */
 function startLimited(ratePerS: number) {
   const clock = createFakeClock();
   const runTimes = createRunTimes();
@@ -37,36 +37,36 @@
   return { permits, backoffs, takeFor };
 }
 
-test("a server without a rate limit takes all", () => {
+test("a server without a rate limit gets all requests", () => {
   const { permits } = startLimited(4);
   const other = makeServer("i-2");
   for (let count = 0; count < 100; count++) assert.ok(permits.take(other));
 });
 
-test("one with a rate limit gets that, and not more", () => {
+test("a server with a rate limit gets that rate and not more", () => {
   const { takeFor } = startLimited(4);
   const taken = takeFor(20_000);
   assert.ok(taken >= 0.9 * 80 && taken <= 84, `${taken}`);
 });
 
-test("what was not sent is given back", () => {
+test("permits of requests that were not sent are refunded", () => {
   const sent = startLimited(4).takeFor(10_000);
   const notSent = startLimited(4).takeFor(10_000, false);
   assert.ok(notSent > 2 * sent, `${notSent}, ${sent}`);
 });
 
-test("a rate limit leaves as many slots as its requests take up", () => {
+test("a rate limit reduces the effective slots to those its requests take up", () => {
   assert.is(startLimited(4).permits.getEffectiveSlots(SERVER), 0.4);
   assert.is(startLimited(400).permits.getEffectiveSlots(SERVER), 4);
 });
 
-test("callers that find no permit come back when there may be one", () => {
+test("callers without a permit are told when one may be available", () => {
   const { permits } = startLimited(2);
   assert.is(permits.getWaitMs([SERVER]), Math.round(562.5));
   assert.is(startLimited(0).permits.getWaitMs([SERVER]), 11_250);
 });
 
-test("a server in backoff has no slots, and gets nothing that waits for it", () => {
+test("a server in backoff has no slots and gets no waiting requests", () => {
   const { permits, backoffs } = startLimited(4);
   assert.ok(permits.isValid(SERVER));
   backoffs.begin(SERVER.id, 3_000);
@@ -77,7 +77,7 @@
   assert.is(permits.describe(SERVER).backoffMs, 3_000);
 });
 
-test("a probe that the rate limit doesn't allow leaves the probe to another", () => {
+test("a probe that the rate limit rejects leaves the probe to another request", () => {
   const { permits, backoffs, takeFor } = startLimited(4);
   backoffs.begin(SERVER.id, 50);
   const taken = takeFor(10_000);
--- a/src/servers/rate_limits.ts
+++ b/src/servers/rate_limits.ts
@@ -1,23 +1,23 @@
 /**
- * Rate limits that backend servers advertise in their answers, as far as any VM
- * heard of them.
+ * Rate limits that backend servers advertise in their answers, to this VM or to
+ * another one.
  *
- * The newest answer at any VM counts. A limit holds until an answer carries none,
- * or none has come for long; then it is ramped up, so that the load doesn't come
- * back as one wave.
+ * The newest answer at any VM counts. A limit stays in force until an answer
+ * carries none, or until no answer has come for long. It is then ramped up, so
+ * that the load doesn't return all at once.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 import type { Log } from "../telemetry/log.ts";
 
-/** What a VM tells others of one server. */
+/** Change of a server's rate limit, as VMs send it to each other. */
 export interface RateLimitUpdate {
-  /** The start of the server. */
+  /** Id of the server instance. */
   server: string;
   /** Absent where the limit was lifted. */
   ratePerS?: number;
-  /** How long ago the answer came. */
+  /** Time since the answer that the update is based on. */
   ageMs: number;
 }
 
@@ -26,116 +26,122 @@
   server: string;
   /** The limit that the server advertised last. */
   advertisedPerS: number;
-  /** The limit that holds now, ramped up where it was lifted. */
+  /** The limit in force, which is higher while it is ramped up. */
   ratePerS: number;
-  /** How long ago it was advertised, and to which VM. */
+  /** Time since the limit was advertised. */
   ageMs: number;
+  /** The VM that received the answer. */
   by: string;
 }
 
-/** Rate limits of servers. */
+/** Rate limits of backend servers. */
 export interface ServerRateLimits {
   /**
-   * Notes what an answer at this VM said.
+   * Records the rate limit in an answer that this VM received.
    *
-   * @param server The start of the server.
-   * @param ratePerS The limit that it carried, if any.
+   * @param server Id of the server instance.
+   * @param ratePerS The advertised limit, if any.
    */
   record(server: string, ratePerS: number | undefined): void;
   /**
-   * Takes in what another VM told.
+   * Applies updates from another VM.
    *
-   * @param vm The VM.
-   * @param news What it told.
-   * @returns What is new here, to be passed on.
+   * @param vm The other VM.
+   * @param updates Its updates.
+   * @returns The updates that are new to this VM, to be relayed.
    */
-  receive(vm: string, news: readonly RateLimitUpdate[]): RateLimitUpdate[];
-  /** @returns What other VMs have to know since the last call. */
+  receive(vm: string, updates: readonly RateLimitUpdate[]): RateLimitUpdate[];
+  /** @returns Updates since the last call, to be sent to other VMs. */
   takeUpdates(): RateLimitUpdate[];
-  /** @returns Requests a second from all VMs; undefined where there is no limit. */
+  /** @returns Requests a second from all VMs; undefined without a limit. */
   getRatePerS(server: string): number | undefined;
-  /** @returns A server's limit, its age and who was told; for a log line. */
+  /** @returns State of a server's limit, empty without one; for a log line. */
   describe(server: string): Partial<RateLimitState>;
   /** @returns The limits in force. */
   list(): RateLimitState[];
-  /** @returns How many servers have one. */
+  /** @returns Number of servers with a rate limit. */
   count(): number;
 }
 
-/** What rate limits need. */
+/** Dependencies of `createServerRateLimits`. */
 export interface RateLimitOptions {
   clock: Clock;
   log: Log;
   ownId: string;
 }
 
-/** A limit holds at least this long after the last answer that carried it. */
+/** Minimum time that a limit holds after the last answer that carried it. */
 const MIN_HOLD_MS = 5_000;
 const MAX_HOLD_MS = 60_000;
-/** Answers that may be missing at a rate as low as the limit. */
+/** A limit holds for the time of this many answers at its own rate. */
 const HELD_ANSWERS = 3;
-/** A lifted limit doubles in this time, until it is dropped. */
+/** Time in which a limit doubles while it is ramped up. */
 const DOUBLING_MS = 1_000;
+/** Doublings after which a lifted limit is dropped. */
 const MAX_DOUBLINGS = 6;
-/** A limit near zero is ramped up from here. */
+/** Lowest rate to start a ramp from, for limits near zero. */
 const MIN_RAMP_PER_S = 0.5;
-/** What others know is told anew this often. */
+/** Interval at which an unchanged limit is sent to other VMs again. */
 const RENEW_MS = 1_000;
-/** A change by less than this part waits for the next renewal. */
-const TOLD_CHANGE = 0.1;
-/** News that are newer by less are the same, told on. */
-const SAME_NEWS_MS = 100;
+/** Smaller relative changes of a limit wait for the next renewal. */
+const SENT_CHANGE_RATIO = 0.1;
+/** Updates that are newer by less are the same update, relayed by another VM. */
+const SAME_UPDATE_MS = 100;
 /** Changes by less than this factor are not logged. */
 const LOGGED_FACTOR = 1.5;
-const LOG_PAUSE_MS = 5_000;
-/** Limits of servers beyond this many are not kept. */
+const LOG_INTERVAL_MS = 5_000;
+/** Maximum number of servers whose limits are kept. */
 const MAX_SERVERS = 4_096;
 
-interface Entry {
+interface TrackedLimit {
   server: string;
   advertisedPerS: number;
   advertisedAtMs: number;
-  /** When an answer carried none; undefined while the last one did. */
+  /** Time of the first answer without a limit; undefined while it is in force. */
   liftedAtMs: number | undefined;
   by: string;
-  isNews: boolean;
-  /** The limit that other VMs know; undefined where they know of none. */
-  sharedPerS: number | undefined;
-  sharedAtMs: number;
+  /** Whether an update has to be sent to other VMs. */
+  isPending: boolean;
+  /** The limit that other VMs know of; undefined where they know of none. */
+  sentPerS: number | undefined;
+  sentAtMs: number;
   loggedPerS: number;
   loggedAtMs: number;
 }
 
 /**
- * @param parts What rate limits need.
- * @returns Rate limits of which none was advertised.
+ * @param options Dependencies of the rate limits.
+ * @returns An empty set of rate limits.
  */
 export function createServerRateLimits(
   { clock, log, ownId }: RateLimitOptions,
 ): ServerRateLimits {
-  const entries = new Map<string, Entry>();
+  const limits = new Map<string, TrackedLimit>();
 
-  function begin(server: string, advertisedPerS: number): Entry | undefined {
-    if (entries.size >= MAX_SERVERS) sweep();
-    if (entries.size >= MAX_SERVERS) return undefined;
-    const entry: Entry = {
+  function track(
+    server: string,
+    advertisedPerS: number,
+  ): TrackedLimit | undefined {
+    if (limits.size >= MAX_SERVERS) sweep();
+    if (limits.size >= MAX_SERVERS) return undefined;
+    const limit: TrackedLimit = {
       server,
       advertisedPerS,
       advertisedAtMs: -Infinity,
       liftedAtMs: undefined,
       by: ownId,
-      isNews: false,
-      sharedPerS: undefined,
-      sharedAtMs: -Infinity,
+      isPending: false,
+      sentPerS: undefined,
+      sentAtMs: -Infinity,
       loggedPerS: NaN,
       loggedAtMs: -Infinity,
     };
-    entries.set(server, entry);
-    return entry;
+    limits.set(server, limit);
+    return limit;
   }
 
-  function getReleasedAtMs(
-    { liftedAtMs, advertisedAtMs, advertisedPerS }: Entry,
+  function getRampStartMs(
+    { liftedAtMs, advertisedAtMs, advertisedPerS }: TrackedLimit,
   ): number {
     const holdMs = Math.min(
       MAX_HOLD_MS,
@@ -144,106 +150,112 @@
     return liftedAtMs ?? advertisedAtMs + holdMs;
   }
 
-  /** @returns The limit in force; undefined once it is ramped up. */
-  function getCurrentPerS(entry: Entry): number | undefined {
-    const rampedMs = clock.monotonicMs() - getReleasedAtMs(entry);
-    if (rampedMs <= 0) return entry.advertisedPerS;
+  /** @returns The limit in force; undefined once the ramp is complete. */
+  function getCurrentPerS(limit: TrackedLimit): number | undefined {
+    const rampedMs = clock.monotonicMs() - getRampStartMs(limit);
+    if (rampedMs <= 0) return limit.advertisedPerS;
     const doublings = rampedMs / DOUBLING_MS;
     if (doublings > MAX_DOUBLINGS) return undefined;
-    return Math.max(entry.advertisedPerS, MIN_RAMP_PER_S) * 2 ** doublings;
+    return Math.max(limit.advertisedPerS, MIN_RAMP_PER_S) * 2 ** doublings;
   }
 
   function sweep(): void {
-    for (const [server, entry] of entries) {
-      if (getCurrentPerS(entry) === undefined) entries.delete(server);
+    for (const [server, limit] of limits) {
+      if (getCurrentPerS(limit) === undefined) limits.delete(server);
     }
   }
 
-  function setAdvertised(entry: Entry, by: string, perS: number, atMs: number) {
-    const isNew = entry.advertisedAtMs === -Infinity ||
-      entry.liftedAtMs !== undefined;
-    entry.advertisedPerS = perS;
-    entry.advertisedAtMs = atMs;
-    entry.liftedAtMs = undefined;
-    entry.by = by;
-    if (isNew || isFarFrom(perS, entry.loggedPerS)) logRate(entry, isNew);
+  function setAdvertised(
+    limit: TrackedLimit,
+    by: string,
+    perS: number,
+    atMs: number,
+  ) {
+    const isNew = limit.advertisedAtMs === -Infinity ||
+      limit.liftedAtMs !== undefined;
+    limit.advertisedPerS = perS;
+    limit.advertisedAtMs = atMs;
+    limit.liftedAtMs = undefined;
+    limit.by = by;
+    if (isNew || isFarFrom(perS, limit.loggedPerS)) logRate(limit, isNew);
   }
 
-  function logRate(entry: Entry, isNew: boolean): void {
+  function logRate(limit: TrackedLimit, isNew: boolean): void {
     const nowMs = clock.monotonicMs();
-    if (!isNew && nowMs - entry.loggedAtMs < LOG_PAUSE_MS) return;
-    entry.loggedPerS = entry.advertisedPerS;
-    entry.loggedAtMs = nowMs;
-    const { server, advertisedPerS: ratePerS, by, advertisedAtMs } = entry;
+    if (!isNew && nowMs - limit.loggedAtMs < LOG_INTERVAL_MS) return;
+    limit.loggedPerS = limit.advertisedPerS;
+    limit.loggedAtMs = nowMs;
+    const { server, advertisedPerS: ratePerS, by, advertisedAtMs } = limit;
     const ageMs = Math.round(nowMs - advertisedAtMs);
     log.info({ server, ratePerS, by, ageMs }, "server rate limit");
   }
 
-  function setLifted(entry: Entry, by: string, atMs: number): void {
-    entry.liftedAtMs = atMs;
-    entry.by = by;
-    const { server, advertisedPerS: ratePerS } = entry;
+  function setLifted(limit: TrackedLimit, by: string, atMs: number): void {
+    limit.liftedAtMs = atMs;
+    limit.by = by;
+    const { server, advertisedPerS: ratePerS } = limit;
     log.info({ server, ratePerS, by }, "server rate limit lifted");
   }
 
-  function noteAdvertised(server: string, perS: number): void {
-    const entry = entries.get(server) ?? begin(server, perS);
-    if (entry === undefined) return;
+  function recordAdvertised(server: string, perS: number): void {
+    const limit = limits.get(server) ?? track(server, perS);
+    if (limit === undefined) return;
     const nowMs = clock.monotonicMs();
-    setAdvertised(entry, ownId, perS, nowMs);
-    const { sharedPerS, sharedAtMs } = entry;
-    const isChanged = sharedPerS === undefined ||
-      Math.abs(perS - sharedPerS) > TOLD_CHANGE * sharedPerS;
-    if (isChanged || nowMs - sharedAtMs >= RENEW_MS) entry.isNews = true;
+    setAdvertised(limit, ownId, perS, nowMs);
+    const { sentPerS, sentAtMs } = limit;
+    const isChanged = sentPerS === undefined ||
+      Math.abs(perS - sentPerS) > SENT_CHANGE_RATIO * sentPerS;
+    if (isChanged || nowMs - sentAtMs >= RENEW_MS) limit.isPending = true;
   }
 
-  function noteLifted(server: string): void {
-    const entry = entries.get(server);
-    if (entry === undefined || entry.liftedAtMs !== undefined) return;
-    setLifted(entry, ownId, clock.monotonicMs());
-    entry.isNews = true;
+  function recordLifted(server: string): void {
+    const limit = limits.get(server);
+    if (limit === undefined || limit.liftedAtMs !== undefined) return;
+    setLifted(limit, ownId, clock.monotonicMs());
+    limit.isPending = true;
   }
 
-  /** @returns Whether it is newer than what is known. */
-  function receiveOne(
+  /** @returns Whether the update is newer than this VM's state. */
+  function applyUpdate(
     vm: string,
     { server, ratePerS, ageMs }: RateLimitUpdate,
   ): boolean {
     const nowMs = clock.monotonicMs();
     const atMs = nowMs - ageMs;
-    const known = entries.get(server);
-    const knownAtMs = Math.max(
-      known?.advertisedAtMs ?? -Infinity,
-      known?.liftedAtMs ?? -Infinity,
+    const existing = limits.get(server);
+    const existingAtMs = Math.max(
+      existing?.advertisedAtMs ?? -Infinity,
+      existing?.liftedAtMs ?? -Infinity,
     );
-    if (atMs < knownAtMs + SAME_NEWS_MS) return false;
-    const entry = known ??
-      (ratePerS === undefined ? undefined : begin(server, ratePerS));
-    if (entry === undefined) return false;
-    if (ratePerS !== undefined) setAdvertised(entry, vm, ratePerS, atMs);
-    else if (entry.liftedAtMs === undefined) setLifted(entry, vm, atMs);
-    entry.isNews = false;
-    entry.sharedPerS = ratePerS;
-    entry.sharedAtMs = nowMs;
+    if (atMs < existingAtMs + SAME_UPDATE_MS) return false;
+    const limit = existing ??
+      (ratePerS === undefined ? undefined : track(server, ratePerS));
+    if (limit === undefined) return false;
+    if (ratePerS !== undefined) setAdvertised(limit, vm, ratePerS, atMs);
+    else if (limit.liftedAtMs === undefined) setLifted(limit, vm, atMs);
+    limit.isPending = false;
+    limit.sentPerS = ratePerS;
+    limit.sentAtMs = nowMs;
     return true;
   }
 
-  function toState(entry: Entry): RateLimitState {
+  function toState(limit: TrackedLimit): RateLimitState {
     return {
-      server: entry.server,
-      advertisedPerS: entry.advertisedPerS,
-      ratePerS: getCurrentPerS(entry) ?? Infinity,
-      ageMs: Math.round(clock.monotonicMs() - entry.advertisedAtMs),
-      by: entry.by,
+      server: limit.server,
+      advertisedPerS: limit.advertisedPerS,
+      ratePerS: getCurrentPerS(limit) ?? Infinity,
+      ageMs: Math.round(clock.monotonicMs() - limit.advertisedAtMs),
+      by: limit.by,
     };
   }
 
-  function toNews(entry: Entry): RateLimitUpdate {
-    const { server, advertisedPerS, advertisedAtMs, liftedAtMs } = entry;
+  /** Makes an update, and records that it was sent. */
+  function toUpdate(limit: TrackedLimit): RateLimitUpdate {
+    const { server, advertisedPerS, advertisedAtMs, liftedAtMs } = limit;
     const nowMs = clock.monotonicMs();
-    entry.isNews = false;
-    entry.sharedAtMs = nowMs;
-    entry.sharedPerS = liftedAtMs === undefined ? advertisedPerS : undefined;
+    limit.isPending = false;
+    limit.sentAtMs = nowMs;
+    limit.sentPerS = liftedAtMs === undefined ? advertisedPerS : undefined;
     const ageMs = nowMs - (liftedAtMs ?? advertisedAtMs);
     return liftedAtMs === undefined
       ? { server, ratePerS: advertisedPerS, ageMs }
@@ -252,27 +264,30 @@
 
   return {
     record(server, ratePerS) {
-      if (ratePerS === undefined) noteLifted(server);
-      else noteAdvertised(server, ratePerS);
+      if (ratePerS === undefined) recordLifted(server);
+      else recordAdvertised(server, ratePerS);
     },
-    receive: (vm, news) => news.filter((one) => receiveOne(vm, one)),
+    receive: (vm, updates) =>
+      updates.filter((update) => applyUpdate(vm, update)),
     takeUpdates() {
       sweep();
-      return [...entries.values()].filter(({ isNews }) => isNews).map(toNews);
+      return [...limits.values()].filter(({ isPending }) => isPending).map(
+        toUpdate,
+      );
     },
     getRatePerS(server) {
-      const entry = entries.get(server);
-      return entry === undefined ? undefined : getCurrentPerS(entry);
+      const limit = limits.get(server);
+      return limit === undefined ? undefined : getCurrentPerS(limit);
     },
     describe(server) {
-      const entry = entries.get(server);
-      return entry === undefined ? {} : toState(entry);
+      const limit = limits.get(server);
+      return limit === undefined ? {} : toState(limit);
     },
     list() {
       sweep();
-      return [...entries.values()].map(toState);
+      return [...limits.values()].map(toState);
     },
-    count: () => entries.size,
+    count: () => limits.size,
   };
 }
 
--- a/src/servers/rate_limits_test.ts
+++ b/src/servers/rate_limits_test.ts
@@ -11,7 +11,7 @@
   return createServerRateLimits({ clock, log: createSilentLog(), ownId });
 }
 
-/** A server that advertised 4 a second just now. */
+/** A server that has just advertised 4 requests a second. */
 function startLimited() {
   const clock = createFakeClock();
   const rates = start(clock);
@@ -26,7 +26,7 @@
   assert.equal(rates.takeUpdates(), []);
 });
 
-test("the limit that was advertised last holds", () => {
+test("the last advertised limit is in force", () => {
   const { rates } = startLimited();
   assert.is(rates.getRatePerS("i-1"), 4);
   rates.record("i-1", 2.5);
@@ -55,7 +55,7 @@
   assert.is(rates.getRatePerS("i-1"), 3);
 });
 
-test("with no answer for long the server is tried again, a little at first", () => {
+test("without answers for long a limit is ramped up from a low rate", () => {
   const { clock, rates } = startLimited();
   rates.record("i-0", 0);
   clock.advance(4_900);
@@ -67,7 +67,7 @@
   assert.ok(rates.getRatePerS("i-0")! <= 1);
 });
 
-test("a limit of one request in ten seconds outlives the time between answers", () => {
+test("a limit of one request in ten seconds holds between its answers", () => {
   const clock = createFakeClock();
   const rates = start(clock);
   rates.record("i-1", 0.1);
@@ -75,7 +75,7 @@
   assert.is(rates.getRatePerS("i-1"), 0.1);
 });
 
-test("other VMs are told of a limit at once, then each second", () => {
+test("a limit is sent to other VMs at once, then each second", () => {
   const { clock, rates } = startLimited();
   assert.equal(rates.takeUpdates(), [{ server: "i-1", ratePerS: 4, ageMs: 0 }]);
   clock.advance(300);
@@ -91,23 +91,23 @@
   assert.equal(rates.takeUpdates(), []);
 });
 
-test("what another VM was told holds here, and is told on once", () => {
+test("an update from another VM is applied, and relayed once", () => {
   const clock = createFakeClock();
   const rates = start(clock);
-  const news = [{ server: "i-1", ratePerS: 4, ageMs: 30 }];
-  assert.equal(rates.receive("vm-2", news), news);
+  const updates = [{ server: "i-1", ratePerS: 4, ageMs: 30 }];
+  assert.equal(rates.receive("vm-2", updates), updates);
   assert.is(rates.getRatePerS("i-1"), 4);
-  assert.equal(rates.receive("vm-3", news), []);
+  assert.equal(rates.receive("vm-3", updates), []);
   assert.equal(rates.takeUpdates(), []);
   rates.record("i-1", 4);
-  assert.equal(rates.takeUpdates(), [], "the others know already");
+  assert.equal(rates.takeUpdates(), [], "the other VMs have it already");
 });
 
-test("the newest answer counts, whichever VM it came to", () => {
+test("the newest answer counts, whichever VM received it", () => {
   const { clock, rates } = startLimited();
   clock.advance(2_000);
   rates.receive("vm-2", [{ server: "i-1", ageMs: 3_000 }]);
-  assert.is(rates.getRatePerS("i-1"), 4, "older than what is known here");
+  assert.is(rates.getRatePerS("i-1"), 4, "older than the state of this VM");
   rates.receive("vm-2", [{ server: "i-1", ratePerS: 9, ageMs: 2_500 }]);
   assert.is(rates.getRatePerS("i-1"), 4);
   rates.receive("vm-2", [{ server: "i-1", ageMs: 0 }]);
@@ -115,7 +115,7 @@
   assert.is(rates.getRatePerS("i-1"), 8);
 });
 
-test("no more than some thousand servers are kept", () => {
+test("the number of servers that are kept is bounded", () => {
   const clock = createFakeClock();
   const rates = start(clock);
   for (let index = 0; index < 10_000; index++) rates.record(`i-${index}`, 1);
--- a/src/servers/registry.ts
+++ b/src/servers/registry.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers of every service, with what this VM has seen of each.
+ * Registry of the backend servers of all services, with this VM's view of each.
  *
  * @module
  */
@@ -17,96 +17,97 @@
 
 /** A backend server and this VM's view of it. */
 export interface KnownServer {
+  /** What the register lists. */
   listed: ListedServer;
   region: string;
   load: ServerLoad;
   health: ServerHealth;
-  /** Cold until then on the monotonic clock; 0 where it is warm. */
+  /** End of the cold start on the monotonic clock; 0 where it is warm. */
   coldUntilMs: number;
-  /** Set once it answered that another server has its address. */
+  /** Whether its address turned out to belong to another server. */
   isReplaced: boolean;
 }
 
 /** All backend servers that this VM knows. */
 export interface ServerRegistry {
-  /** Takes a changed fact in. */
+  /** Applies a changed fact, if it is about servers or evacuations. */
   apply(item: NewsItem): void;
   /**
    * @param service A service.
-   * @returns Its servers that may be sent requests, cold ones included.
+   * @returns Its servers that may get requests, cold ones included.
    */
   listUsable(service: string): readonly KnownServer[];
-  /** @returns Whether a server is listed, and is to get requests. */
+  /** @returns Whether a server is listed and may get requests. */
   isUsable(server: KnownServer): boolean;
-  /** @returns Every server that is listed. */
+  /** @returns All listed servers. */
   listAll(): KnownServer[];
-  /** Notes that a server's address belongs to another one now. */
+  /** Records that a server's address belongs to another one now. */
   markReplaced(id: string): void;
   /**
-   * Notes that a server announced its drain. That holds for this start of it,
-   * whatever the register lists later.
+   * Records that a server announced its drain. This applies to this instance of
+   * the server, whatever the register lists later.
    */
   markDraining(server: KnownServer): void;
   /** @returns Whether a server announced its drain. */
   isDraining(server: KnownServer): boolean;
-  /** Changes whenever `listUsable` would list other servers. */
+  /** @returns A number that changes whenever the result of `listUsable` may. */
   getRevision(): number;
-  /** @returns Failure domains that are to get no requests. */
+  /** @returns Failure domains that are evacuated and get no requests. */
   listEvacuated(): string[];
-  /** @returns The region of a server, by the hash of its id. */
+  /** @returns The region of a server, given the hash of its id. */
   getRegion(serverKey: number): string | undefined;
   /**
-   * @param minRunMs Services whose requests last less are left out.
-   * @returns Requests that this VM has at servers.
+   * @param minRunMs Services with a shorter mean run time are left out.
+   * @returns This VM's requests at servers, as pairs of server key and number.
    */
   listOwnRequests(minRunMs: number): RequestPairs;
 }
 
-/** What a registry needs. */
+/** Dependencies of `createServerRegistry`. */
 export interface RegistryOptions {
   clock: Clock;
   log: Log;
   /** Region of each failure domain. */
   regions: ReadonlyMap<string, string>;
-  /** How long a server of a service stays cold after a start. */
+  /** Time for which a server of a service stays cold after it starts. */
   getColdDurationMs: (service: string) => number;
-  /** Requests of other VMs. */
+  /** Requests that other VMs have at servers. */
   running: Pick<RunningRequests, "getTotal">;
-  /** How long requests last. */
+  /** Mean run times of requests. */
   runTimes: RunTimes;
 }
 
 /**
- * Servers of a failure domain that is taken back may be cold, which the
- * register tells up to a heartbeat (1.5 s) later.
+ * Servers may be cold when the evacuation of their failure domain ends, which
+ * the register lists only up to a heartbeat (1.5 s) later.
  */
 const REGISTER_LAG_MS = 1_600;
-/** Time in which a VM that starts hears of all servers. */
-const FIRST_LISTING_MS = 1_000;
+/** Time in which a starting VM receives the list of all servers. */
+const INITIAL_LISTING_MS = 1_000;
 
 /**
- * @param parts What the registry needs.
- * @returns A registry with no servers.
+ * @param options Dependencies of the registry.
+ * @returns A registry without servers.
  */
-export function createServerRegistry(parts: RegistryOptions): ServerRegistry {
-  const { clock, log, regions, running, runTimes } = parts;
-  /** By the name in the register. */
+export function createServerRegistry(options: RegistryOptions): ServerRegistry {
+  const { clock, log, regions, running, runTimes } = options;
+  /** By registered name. */
   const servers = new Map<string, KnownServer>();
   const regionByKey = new Map<number, string>();
   const evacuated = new Set<string>();
-  const drainingStarts = createDrainingInstances(clock);
+  const drainingInstances = createDrainingInstances(clock);
   const usableByService = new Map<string, KnownServer[]>();
   let revision = 0;
   let firstListedAtMs: number | undefined;
 
-  function touch(): void {
+  function invalidate(): void {
     revision++;
     usableByService.clear();
   }
 
-  function isUsableServer(server: KnownServer): boolean {
+  function mayGetRequests(server: KnownServer): boolean {
     return server.listed.state === "ready" && !server.isReplaced &&
-      !drainingStarts.has(server.listed.id) &&
+      !drainingInstances.has(server.listed.id) &&
       !evacuated.has(server.listed.failureDomain);
   }
 
@@ -114,7 +115,7 @@
     const cached = usableByService.get(service);
     if (cached !== undefined) return cached;
     const usable = [...servers.values()].filter((server) =>
-      server.listed.service === service && isUsableServer(server)
+      server.listed.service === service && mayGetRequests(server)
     );
     usableByService.set(service, usable);
     return usable;
@@ -125,7 +126,7 @@
     if (region === undefined) {
       log.warn(
         { server: listed.id, failureDomain: listed.failureDomain },
-        "server in an unknown failure domain, left out",
+        "server in an unknown failure domain ignored",
       );
       return;
     }
@@ -138,60 +139,60 @@
         getMeanRunMs: () => runTimes.getMeanMs(listed.service),
       }),
       health: createServerHealth(clock),
-      coldUntilMs: toColdUntil(listed.coldLeftMs),
+      coldUntilMs: computeColdUntilMs(listed.coldLeftMs),
       isReplaced: false,
     });
-    noteListed(listed);
+    logListed(listed);
   }
 
-  /** Of 700 servers that a VM hears of as it starts, one line tells. */
-  function noteListed(listed: ListedServer): void {
+  /** Logs a single line for the servers listed at the start, which may be 700. */
+  function logListed(listed: ListedServer): void {
     const nowMs = clock.monotonicMs();
     if (firstListedAtMs === undefined) {
       firstListedAtMs = nowMs;
-      clock.after(FIRST_LISTING_MS, () => {
-        log.info({ servers: servers.size }, "first servers listed");
+      clock.after(INITIAL_LISTING_MS, () => {
+        log.info({ servers: servers.size }, "initial servers listed");
       });
     }
-    if (nowMs - firstListedAtMs < FIRST_LISTING_MS) return;
+    if (nowMs - firstListedAtMs < INITIAL_LISTING_MS) return;
     log.info(describe(listed), "server listed");
   }
 
-  function toColdUntil(coldLeftMs: number): number {
+  function computeColdUntilMs(coldLeftMs: number): number {
     return coldLeftMs > 0 ? clock.monotonicMs() + coldLeftMs : 0;
   }
 
   function update(server: KnownServer, listed: ListedServer): void {
-    const wasUsable = isUsableServer(server);
+    const wasUsable = mayGetRequests(server);
     if (listed.state !== server.listed.state) {
       log.info(describe(listed), "server changed state");
     }
     server.listed = listed;
     if (listed.coldLeftMs > 0) {
-      server.coldUntilMs = toColdUntil(listed.coldLeftMs);
+      server.coldUntilMs = computeColdUntilMs(listed.coldLeftMs);
     }
-    if (wasUsable !== isUsableServer(server)) touch();
+    if (wasUsable !== mayGetRequests(server)) invalidate();
   }
 
   function remove({ listed }: KnownServer): void {
     servers.delete(listed.registeredName);
     regionByKey.delete(hashToUint32(listed.id));
-    log.info({ server: listed.id, service: listed.service }, "server gone");
-    touch();
+    log.info({ server: listed.id, service: listed.service }, "server removed");
+    invalidate();
   }
 
-  /** Nothing that is known of a start holds for the next one of its name. */
+  /** Replaces a server with its next instance, which keeps none of its state. */
   function applyServer(item: NewsItem, registeredName: string): void {
-    const known = servers.get(registeredName);
+    const existing = servers.get(registeredName);
     if (item.fact?.kind !== "server") {
-      if (known !== undefined) remove(known);
+      if (existing !== undefined) remove(existing);
       return;
     }
     const { server } = item.fact;
-    if (known?.listed.id === server.id) return update(known, server);
-    if (known !== undefined) remove(known);
+    if (existing?.listed.id === server.id) return update(existing, server);
+    if (existing !== undefined) remove(existing);
     add(server);
-    touch();
+    invalidate();
   }
 
   function applyEvacuation(item: NewsItem, failureDomain: string): void {
@@ -200,17 +201,20 @@
     if (isAsked) evacuated.add(failureDomain);
     else {
       evacuated.delete(failureDomain);
-      presumeCold(failureDomain);
+      markCold(failureDomain);
     }
     log.info({ failureDomain, isAsked, version: item.version }, "evacuation");
-    touch();
+    invalidate();
   }
 
-  /** Keeps a domain that is taken back from a rush that cold servers fail at. */
-  function presumeCold(failureDomain: string): void {
+  /**
+   * Treats the servers of a domain as cold when its evacuation ends, since a
+   * surge of requests would overload those that are.
+   */
+  function markCold(failureDomain: string): void {
     for (const server of servers.values()) {
       if (server.listed.failureDomain !== failureDomain) continue;
-      const coldMs = parts.getColdDurationMs(server.listed.service);
+      const coldMs = options.getColdDurationMs(server.listed.service);
       server.coldUntilMs = clock.monotonicMs() + coldMs + REGISTER_LAG_MS;
     }
   }
@@ -226,7 +230,7 @@
     listUsable,
     isUsable: (server) =>
       servers.get(server.listed.registeredName) === server &&
-      isUsableServer(server),
+      mayGetRequests(server),
     listAll: () => [...servers.values()],
     markReplaced(id) {
       const server = [...servers.values()].find(({ listed }) =>
@@ -234,15 +238,18 @@
       );
       if (server === undefined || server.isReplaced) return;
       server.isReplaced = true;
-      log.warn({ server: id }, "address belongs to another server now");
-      touch();
+      log.warn(
+        { server: id },
+        "server's address belongs to another server now",
+      );
+      invalidate();
     },
     markDraining({ listed }) {
-      if (!drainingStarts.add(listed.id)) return;
+      if (!drainingInstances.add(listed.id)) return;
       log.info(describe(listed), "server announced its drain");
-      touch();
+      invalidate();
     },
-    isDraining: ({ listed }) => drainingStarts.has(listed.id),
+    isDraining: ({ listed }) => drainingInstances.has(listed.id),
     getRevision: () => revision,
     listEvacuated: () => [...evacuated],
     getRegion: (serverKey) => regionByKey.get(serverKey),
--- a/src/servers/run_times.ts
+++ b/src/servers/run_times.ts
@@ -1,21 +1,26 @@
 /**
- * How long requests at servers of each service last.
+ * Mean run time of requests, by service.
  *
  * @module
  */
 
-/** Mean durations, by service. */
+/** Mean run times of requests, by service. */
 export interface RunTimes {
-  /** Notes a request that was answered. */
+  /**
+   * Records a request that was answered.
+   *
+   * @param service The service.
+   * @param tookMs Time from sending the request to its answer.
+   */
   record(service: string, tookMs: number): void;
-  /** @returns How long requests last; undefined before the first answer. */
+  /** @returns The mean run time in ms; undefined before the first answer. */
   getMeanMs(service: string): number | undefined;
 }
 
-/** Weight of one duration; about the last 30 count. */
+/** Weight of one run time in the moving average of about 30 requests. */
 const WEIGHT = 0.03;
 
-/** @returns A table that knows no durations. */
+/** @returns An empty table of run times. */
 export function createRunTimes(): RunTimes {
   const means = new Map<string, number>();
   return {
--- a/src/servers/servers_test.ts
+++ b/src/servers/servers_test.ts
@@ -16,7 +16,7 @@
   return registry.listUsable("s").map(({ listed }) => listed.id);
 }
 
-test("a server that drains or is gone is not usable", () => {
+test("a draining or removed server is not usable", () => {
   const registry = makeRegistry(createFakeClock());
   registry.apply(makeServerNews(makeServer("1"), 1));
   registry.apply(makeServerNews(makeServer("2"), 2));
@@ -31,7 +31,7 @@
   assert.equal(listIds(registry), []);
 });
 
-test("a server whose address another one has is not usable", () => {
+test("a server whose address belongs to another one is not usable", () => {
   const registry = makeRegistry(createFakeClock());
   registry.apply(makeServerNews(makeServer("1"), 1));
   registry.markReplaced("1");
@@ -40,7 +40,7 @@
   assert.equal(listIds(registry), []);
 });
 
-test("a server that announced its drain is not usable, whatever is listed", () => {
+test("a server that announced its drain is not usable, whatever the register lists", () => {
   const registry = makeRegistry(createFakeClock());
   const server = makeServer("i-1@1", { registeredName: "i-1" });
   registry.apply(makeServerNews(server, 1));
@@ -60,7 +60,7 @@
   assert.equal(listIds(registry), ["i-1@2"]);
 });
 
-test("starts that drain are forgotten after ten minutes, or beyond 4,096", () => {
+test("draining instances are forgotten after ten minutes, or beyond 4,096", () => {
   const clock = createFakeClock();
   const draining = createDrainingInstances(clock);
   assert.ok(draining.add("1"));
@@ -74,7 +74,7 @@
   assert.is(draining.count(), 0);
 });
 
-test("nothing of a server's former start holds after it started again", () => {
+test("a restarted server keeps no state of its former instance", () => {
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
   const former = makeServer("i-1@1", { registeredName: "i-1" });
@@ -96,7 +96,7 @@
   assert.is(registry.listUsable("s").length, 1);
 });
 
-test("an evacuated domain gets nothing, and is cold when taken back", () => {
+test("an evacuated domain gets no requests, and is cold after the evacuation", () => {
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
   registry.apply(makeServerNews(makeServer("1"), 1));
@@ -113,34 +113,34 @@
   assert.is(second.coldUntilMs, 0);
 });
 
-test("a server in an unknown failure domain is left out", () => {
+test("a server in an unknown failure domain is ignored", () => {
   const registry = makeRegistry(createFakeClock());
   registry.apply(makeServerNews(makeServer("1", { failureDomain: "x" }), 1));
   assert.equal(listIds(registry), []);
 });
 
-test("VMs together keep a cold server under its rate", () => {
+test("all VMs together stay within the rate of a cold server", () => {
   const clock = createFakeClock();
   const vms = Array.from({ length: 12 }, (_, index) => `vm-${index}`);
   const limits = vms.map((ownId) =>
     createColdLimit({ clock, ownId, listVms: () => vms })
   );
   const ratePerS = 9.1;
-  let worst = 0;
+  let maxPerS = 0;
   const sentAtMs: number[] = [];
   for (let stepMs = 0; stepMs < 5_000; stepMs += 5) {
     for (const limit of limits) {
       if (limit.take("cold", ratePerS, "oslo")) sentAtMs.push(stepMs);
     }
     const lastSecond = sentAtMs.filter((atMs) => atMs > stepMs - 1_000);
-    worst = Math.max(worst, lastSecond.length);
+    maxPerS = Math.max(maxPerS, lastSecond.length);
     clock.advance(5);
   }
   assert.ok(sentAtMs.length > 5 * ratePerS * 0.6, `${sentAtMs.length} sent`);
-  assert.ok(worst <= ratePerS * 1.5 + 3, `${worst} in one second`);
+  assert.ok(maxPerS <= ratePerS * 1.5 + 3, `${maxPerS} in one second`);
 });
 
-test("a VM of another region sends nothing to a cold server", () => {
+test("a VM of another region sends no requests to a cold server", () => {
   const limit = createColdLimit({
     clock: createFakeClock(),
     ownId: "far",
@@ -149,7 +149,7 @@
   assert.not(limit.take("cold", 9, "oslo"));
 });
 
-test("load adds this VM's requests to those that others were seen to have", () => {
+test("load adds this VM's requests to those the server reports from others", () => {
   const clock = createFakeClock();
   const load = createServerLoad(4, clock, {
     getReported: () => 0,
@@ -165,7 +165,7 @@
   assert.is(load.getTotal(), 2);
 });
 
-test("what a report tells of lasts as long as requests do", () => {
+test("the reported load decays with the mean run time of requests", () => {
   const clock = createFakeClock();
   const load = createServerLoad(9, clock, {
     getReported: () => 0,
@@ -177,11 +177,11 @@
   assert.is(load.getTotal(), 2);
 });
 
-test("requests that other VMs tell of count at once, and once", () => {
+test("requests reported by other VMs count at once, and only once", () => {
   const clock = createFakeClock();
-  let told = 3;
+  let reported = 3;
   const load = createServerLoad(4, clock, {
-    getReported: () => told,
+    getReported: () => reported,
     getMeanRunMs: () => 2_000,
   });
   load.begin();
@@ -190,11 +190,11 @@
   assert.is(load.getTotal(), 4);
   load.report({ running: 4, waiting: 2, slots: 4 });
   assert.is(load.getTotal(), 5);
-  told = 0;
+  reported = 0;
   assert.is(load.getTotal(), 2);
 });
 
-test("what was told of requests that had ended is taken off", () => {
+test("reported requests that have ended are subtracted", () => {
   const clock = createFakeClock();
   const load = createServerLoad(4, clock, {
     getReported: () => 3,
@@ -207,7 +207,7 @@
   assert.ok(load.getTotal() < 1.1, `${load.getTotal()}`);
 });
 
-test("a server that can't be reached twice is kept out for a while", () => {
+test("a server that is unreachable twice in a row is ejected for a while", () => {
   const clock = createFakeClock();
   const health = createServerHealth(clock);
   health.recordOutcome("unreachable");
@@ -221,7 +221,7 @@
   assert.ok(health.isEjected(), "the second time lasts longer");
 });
 
-test("a server is heard by whatever it says, not by silence", () => {
+test("a server responds by any answer, not by silence", () => {
   const clock = createFakeClock();
   const health = createServerHealth(clock);
   health.recordOutcome("unreachable");
@@ -232,7 +232,7 @@
   assert.not(health.hasRespondedSince(11));
 });
 
-test("being full is no sign of a fault", () => {
+test("a server that sheds requests is not a failing one", () => {
   const health = createServerHealth(createFakeClock());
   for (let count = 0; count < 50; count++) health.recordOutcome("shed");
   assert.is(health.getFailureShare(), 0);
--- a/src/servers/signals.ts
+++ b/src/servers/signals.ts
@@ -1,22 +1,22 @@
 /**
- * What a backend server says of itself with its answers.
+ * Signals about itself that a backend server sends with its answers.
  *
  * @module
  */
 import type { LoadReport } from "./load.ts";
 
-/** What one answer says of the server that gave it. */
+/** Signals in one answer, about the server that sent it. */
 export interface ServerSignals {
   load: LoadReport | undefined;
-  /** Requests a second that it takes from all VMs together. */
+  /** Requests a second that the server takes from all VMs together. */
   limitPerS: number | undefined;
-  /** Whether this start of the server takes no new work any more. */
+  /** Whether this instance of the server takes no new requests any more. */
   isDraining: boolean;
-  /** How long this VM is to send it nothing, from the answer on. */
+  /** Time from the answer on in which this VM is to send it no requests. */
   backoffMs: number | undefined;
 }
 
-/** What an answer says that speaks of no server, or not of the one asked. */
+/** For answers without signals, or not from the server that was asked. */
 export const NO_SIGNALS: ServerSignals = {
   load: undefined,
   limitPerS: undefined,
--- a/src/servers/types.ts
+++ b/src/servers/types.ts
@@ -8,21 +8,22 @@
 export type ServerState = "ready" | "draining";
 
 /**
- * One start of a backend server. A server may start again under the name that
- * it had; that is another start, which holds and knows nothing of before.
+ * An instance of a backend server, which lasts until the server restarts. The
+ * next instance has the same registered name and another id, and none of the
+ * state of the one before.
  */
 export interface ListedServer {
-  /** Tells starts apart, also those of one name. */
+  /** Identifies the instance; unlike the name, it changes with each restart. */
   id: string;
-  /** Its name in the register, by which it knows itself. */
+  /** The server's name in the register, which it also uses for itself. */
   registeredName: string;
   service: string;
-  /** `host:port`; may pass on to a server of another service later. */
+  /** `host:port`; may later belong to a server of another service. */
   address: string;
   failureDomain: string;
   /** Requests that it runs at once. */
   slots: number;
   state: ServerState;
-  /** How long it stays cold, counted from when the register was told. */
+  /** Remaining time as a cold server, from when the register was updated. */
   coldLeftMs: number;
 }
