--- a/src/limits/model/scenarios.ts
+++ b/src/limits/model/scenarios.ts
@@ -74,23 +74,23 @@
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "region cut, far over",
-      isPartitioned: isBergenPartitioned,
+      isCutOff: isBergenPartitioned,
     }),
     makeScenario(vms, ratePerS, NORMAL, {
       name: "region cut, usual",
-      isPartitioned: isBergenPartitioned,
+      isCutOff: isBergenPartitioned,
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "each VM on its own, far over",
-      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isCutOff: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     makeScenario(vms, ratePerS, NORMAL, {
       name: "each VM on its own, usual",
-      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isCutOff: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all regions cut, far over",
-      isPartitioned: (from, to, nowMs) => isPartitionTime(nowMs) && from !== to,
+      isCutOff: (from, to, nowMs) => isPartitionTime(nowMs) && from !== to,
     }),
     makeScenario(vms, ratePerS, OVERLOAD, {
       name: "all restart, far over",
@@ -167,13 +167,13 @@
     }),
     make({
       name: "its region cut off",
-      isPartitioned: (from, to, nowMs) =>
+      isCutOff: (from, to, nowMs) =>
         isPartitionTime(nowMs) && from !== to &&
         (from === "oslo" || to === "oslo"),
     }),
     make({
       name: "each VM on its own",
-      isPartitioned: (_from, _to, nowMs) => isPartitionTime(nowMs),
+      isCutOff: (_from, _to, nowMs) => isPartitionTime(nowMs),
     }),
     make({
       name: "all restart",
--- a/src/limits/model/simulation.ts
+++ b/src/limits/model/simulation.ts
@@ -38,15 +38,15 @@
    * @returns Requests a second that reach the VM.
    */
   getDemandPerS: (vm: number, nowMs: number) => number;
-  /** Whether two regions are partitioned from each other. */
-  isPartitioned?: (from: string, to: string, nowMs: number) => boolean;
+  /** Whether messages from one region to another, or within one, are lost. */
+  isCutOff?: (from: string, to: string, nowMs: number) => boolean;
   /** VMs that restart, and when. */
   restarts?: { atMs: number; vms: readonly number[]; downMs: number }[];
   /** Tolerated excess; by default that of client accounts. */
   margin?: LimitMargin;
   /** Whether the bucket starts empty: the limit was set while in use. */
   startsEmpty?: boolean;
-  /** A lower limit, and when it takes effect. */
+  /** A lower limit, and when it is set. */
   lowered?: { atMs: number; ratePerS: number; burst: number };
 }
 
@@ -172,7 +172,7 @@
     const isSameRegion = from.region === to.identity.region;
     const delayMs = isSameRegion ? LOCAL_DELAY_MS : REGION_DELAY_MS;
     const nowMs = clock.monotonicMs() - WARM_UP_MS;
-    if (scenario.isPartitioned?.(from.region, to.identity.region, nowMs)) {
+    if (scenario.isCutOff?.(from.region, to.identity.region, nowMs)) {
       return;
     }
     clock.after(delayMs, () => {
