--- a/src/limits/model/simulation.ts
+++ b/src/limits/model/simulation.ts
@@ -172,9 +172,7 @@
     const isSameRegion = from.region === to.identity.region;
     const delayMs = isSameRegion ? LOCAL_DELAY_MS : REGION_DELAY_MS;
     const nowMs = clock.monotonicMs() - WARM_UP_MS;
-    if (scenario.isCutOff?.(from.region, to.identity.region, nowMs)) {
-      return;
-    }
+    if (scenario.isCutOff?.(from.region, to.identity.region, nowMs)) return;
     clock.after(delayMs, () => {
       if (to.isUp) to.sharing?.receive(from, update);
     });
