--- a/src/limits/model/ranked_senders.ts
+++ b/src/limits/model/ranked_sender_limiter.ts
@@ -1,5 +1,6 @@
 /**
- * Limits by senders: the first VMs of a region by rank spend the whole limit.
+ * Limits by ranked senders: the first VMs of a region by rank may use the whole
+ * limit, the others nothing.
  *
  * @module
  */
@@ -7,27 +8,27 @@
 import { type ColdLimit, createColdLimit } from "../../servers/cold_limit.ts";
 import {
   type Admission,
-  type LimitedHolder,
+  type LimitedSubject,
   type LimitState,
   type LimitUsage,
   RateLimiter,
 } from "../limiter.ts";
 
-/** Who may be a sender. */
+/** The VMs that senders are chosen from. */
 export interface Senders {
   region: string;
   listVms: (region: string) => readonly string[];
 }
 
-/** Gives few VMs the whole of each limit, as cold servers are limited. */
-export class RankedSenders extends RateLimiter {
+/** Lets a few VMs use all of each limit, in the way cold servers are limited. */
+export class RankedSenderLimiter extends RateLimiter {
   readonly #senders: Senders;
   readonly #limit: ColdLimit;
 
   /**
    * @param clock The clock.
-   * @param ownId This VM.
-   * @param senders Who may be a sender.
+   * @param ownId Id of this VM.
+   * @param senders The VMs that senders are chosen from.
    */
   constructor(clock: Clock, ownId: string, senders: Senders) {
     super();
@@ -36,7 +37,9 @@
     this.#limit = createColdLimit({ clock, ownId, listVms });
   }
 
-  protected override takeLimited({ name, ratePerS }: LimitedHolder): Admission {
+  protected override takeLimited(
+    { name, ratePerS }: LimitedSubject,
+  ): Admission {
     const isTaken = this.#limit.take(name, ratePerS, this.#senders.region);
     return isTaken
       ? { kind: "within" }
@@ -45,7 +48,7 @@
 
   protected override count(): void {}
 
-  override takeNews(): LimitUsage[] {
+  override takeUsage(): LimitUsage[] {
     return [];
   }
 
--- /dev/null
+++ b/src/limits/usage_encoding.ts
@@ -0,0 +1,45 @@
+/**
+ * Wire encoding of limit usage. VMs exchange it five times a second, so it has
+ * no field names, and the number of refused requests is left out where it is 0.
+ *
+ * @module
+ */
+import * as z from "zod";
+import type { LimitUsage } from "./limiter.ts";
+
+const MAX_NAME_LENGTH = 200;
+const MAX_SUBJECTS = 100_000;
+
+const subjectName = z.string().max(MAX_NAME_LENGTH);
+const requests = z.number().int();
+
+/** Validates usage tuples: subject, requests that ran, requests refused. */
+export const usageSchema = z.array(z.union([
+  z.tuple([subjectName, requests]),
+  z.tuple([subjectName, requests, requests]),
+])).max(MAX_SUBJECTS);
+
+/** Usage in its wire encoding. */
+export type EncodedUsage = z.infer<typeof usageSchema>;
+
+/**
+ * @param usage Usage of limits.
+ * @returns The usage in its wire encoding.
+ */
+export function encodeUsage(usage: readonly LimitUsage[]): EncodedUsage {
+  return usage.map(({ name, asked, spent }) =>
+    asked === spent ? [name, spent] : [name, spent, asked - spent]
+  );
+}
+
+/**
+ * @param encoded Usage in its wire encoding.
+ * @returns Usage of limits.
+ */
+export function decodeUsage(encoded: EncodedUsage): LimitUsage[] {
+  return encoded.map(([name, spent, refused = 0]) => ({
+    name,
+    asked: spent + refused,
+    spent,
+  }));
+}
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -159,8 +159,8 @@
 test("a server's rate limit reaches all VMs of a large fleet", async () => {
   const { vms, others, stop } = await startFleet();
   const [limited] = others;
-  limited.rateLimits.note("1", 3.5);
-  limited.mesh.broadcastServerRateLimits(limited.rateLimits.takeNews());
+  limited.rateLimits.record("1", 3.5);
+  limited.mesh.broadcastServerRateLimits(limited.rateLimits.takeUpdates());
   await waitUntil(() =>
     vms.every(({ rateLimits }) => rateLimits.getRatePerS("1") === 3.5)
   );
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -13,7 +13,7 @@
 } from "../news/types.ts";
 import type { FreshnessTracker } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
-import type { RateLimitNews } from "../servers/rate_limits.ts";
+import type { RateLimitUpdate } from "../servers/rate_limits.ts";
 import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createDialer } from "./dialer.ts";
@@ -79,7 +79,7 @@
    *
    * @param rates The rate limits.
    */
-  broadcastServerRateLimits(rates: RateLimitNews[]): void;
+  broadcastServerRateLimits(rates: RateLimitUpdate[]): void;
   /**
    * Announces to all linked VMs that this VM just read a topic from its source.
    *
--- a/src/members/payloads.ts
+++ b/src/members/payloads.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import type { Activity, ActivityScope } from "../activity/types.ts";
-import { unpackUsage } from "../limits/usage_form.ts";
-import type { UsageNews } from "../limits/usage_sharing.ts";
+import { decodeUsage } from "../limits/usage_encoding.ts";
+import type { UsageUpdate } from "../limits/usage_sharing.ts";
 import type { FactStore } from "../news/fact_store.ts";
 import {
   CONFIGURATION_KEY,
@@ -15,7 +15,7 @@
   type Topic,
 } from "../news/types.ts";
 import { decodeUpdates, encodeUpdates } from "../news/wire_format.ts";
-import type { RateLimitNews } from "../servers/rate_limits.ts";
+import type { RateLimitUpdate } from "../servers/rate_limits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { LinkSet, VmLink } from "./link_set.ts";
 import type { VmMessage } from "./messages.ts";
@@ -41,14 +41,14 @@
    * @param from The sender.
    * @param usage The usage, and the VMs that it covers.
    */
-  onUsage: (from: VmIdentity, usage: UsageNews) => void;
+  onUsage: (from: VmIdentity, usage: UsageUpdate) => void;
   /**
    * Called with the usage of rate-limited backend servers by other VMs.
    *
    * @param from The sender.
    * @param usage The usage, and the VMs that it covers.
    */
-  onServerUsage: (from: VmIdentity, usage: UsageNews) => void;
+  onServerUsage: (from: VmIdentity, usage: UsageUpdate) => void;
   /**
    * Called with rate limits of backend servers.
    *
@@ -58,8 +58,8 @@
    */
   onServerRateLimits: (
     from: VmIdentity,
-    rates: RateLimitNews[],
-  ) => RateLimitNews[];
+    rates: RateLimitUpdate[],
+  ) => RateLimitUpdate[];
 }
 
 type FactMessage = Extract<VmMessage, { kind: "news" }>;
@@ -164,7 +164,7 @@
   function receiveRateLimits(
     link: VmLink,
     sender: VmIdentity,
-    rates: RateLimitNews[],
+    rates: RateLimitUpdate[],
   ): void {
     const changed = options.onServerRateLimits(sender, rates);
     if (changed.length === 0) return;
@@ -180,8 +180,8 @@
       VmMessage,
       { kind: "usage" | "server_usage" }
     >,
-  ): UsageNews {
-    return { scope, vms, usage: unpackUsage(usage) };
+  ): UsageUpdate {
+    return { scope, vms, usage: decodeUsage(usage) };
   }
 
   return {
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -159,7 +159,7 @@
 ): Choice | undefined {
   const first = alive[0];
   if (first === undefined || first.coldUntilMs <= nowMs) return undefined;
-  const utilization = first.load.getUse();
+  const utilization = first.load.getUtilization();
   if (utilization >= 1) return undefined;
   const { id } = first.listed;
   if (!coldLimit.take(id, placement.coldRatePerS, first.region)) {
@@ -205,7 +205,7 @@
   let best: ServerChoice | undefined;
   let bestCost = Infinity;
   servers.slice(0, CACHED_CANDIDATES).forEach((server, rank) => {
-    const utilization = server.load.getUse();
+    const utilization = server.load.getUtilization();
     const isCached = placement.hasCachedObject(server.listed.id);
     if (utilization >= getMaxUtilization(server, placement, isCached)) return;
     if (rank >= SERVERS_PER_OBJECT && !isCached) return;
--- a/src/placement/choose_test.ts
+++ b/src/placement/choose_test.ts
@@ -90,8 +90,8 @@
   const { clock, servers } = createFourServers();
   const tried = new Set(["0"]);
   assert.is(getOutcome(choose(servers, clock, { tried })), "1");
-  servers[1].health.note("unreachable");
-  servers[1].health.note("unreachable");
+  servers[1].health.recordOutcome("unreachable");
+  servers[1].health.recordOutcome("unreachable");
   assert.is(getOutcome(choose(servers, clock, { tried })), "2");
 });
 
@@ -142,15 +142,17 @@
 
 test("a server that fails many of its requests is skipped", () => {
   const { clock, servers } = createFourServers();
-  for (let count = 0; count < 6; count++) servers[0].health.note("failed");
+  for (let count = 0; count < 6; count++) {
+    servers[0].health.recordOutcome("failed");
+  }
   assert.is(getOutcome(choose(servers, clock)), "1");
 });
 
 test("when every server is ejected, one is tried nevertheless", () => {
   const { clock, servers } = createFourServers();
   for (const server of servers) {
-    server.health.note("unreachable");
-    server.health.note("unreachable");
+    server.health.recordOutcome("unreachable");
+    server.health.recordOutcome("unreachable");
   }
   assert.is(getOutcome(choose(servers, clock)), "0");
 });
@@ -240,9 +242,9 @@
 
 /** Selects the best-ranked unsaturated server, cached object or not. */
 function chooseAnyServer(servers: readonly KnownServer[]): Choice {
-  const server = servers.find(({ load }) => load.getUse() < 2);
+  const server = servers.find(({ load }) => load.getUtilization() < 2);
   if (server === undefined) return { kind: "full" };
-  const utilization = server.load.getUse();
+  const utilization = server.load.getUtilization();
   return { kind: "server", server, rank: 0, utilization, isCached: false };
 }
 
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -119,7 +119,7 @@
       const nowMs = clock.monotonicMs();
       const tookMs = nowMs - sentAtMs;
       pace.recordAnswer(ROUTE, tookMs, utilization);
-      runTimes.note("s", tookMs);
+      runTimes.record("s", tookMs);
       if (utilization < 0.8) {
         const wasCached = pace.wasCached(ROUTE, tookMs);
         pace.recordUnloadedAnswer(ROUTE, depth, tookMs);
@@ -128,7 +128,7 @@
         }
       }
       if (index < limited && nowMs >= LIMITED_AT_MS) {
-        rateLimits.note(listed.id, LIMIT_PER_S);
+        rateLimits.record(listed.id, LIMIT_PER_S);
       }
       if (sentAtMs < LIMITED_AT_MS) return;
       if (tookMs <= ROUTE.targetLatencyMs) inTime++;
--- a/src/serving/attempt_observer.ts
+++ b/src/serving/attempt_observer.ts
@@ -28,7 +28,7 @@
   cacheModel: ObjectCacheModel;
   cacheSizeEstimator: CacheSizeEstimator;
   runTimes: RunTimes;
-  rateLimits: Pick<ServerRateLimits, "note">;
+  rateLimits: Pick<ServerRateLimits, "record">;
   registry: Pick<ServerRegistry, "markDraining">;
   backoffs: Pick<ServerBackoffs, "begin">;
 }
@@ -97,8 +97,8 @@
     const { result, tookMs } = outcome;
     recordSignals(server, result);
     if (result.kind === "answer") recordAnswer(progress, server, outcome);
-    if (result.kind === "not_run") server.health.note("shed");
-    if (result.kind === "not_sent") server.health.note("unreachable");
+    if (result.kind === "not_run") server.health.recordOutcome("shed");
+    if (result.kind === "not_sent") server.health.recordOutcome("unreachable");
     if (result.kind === "lost") recordLoss(server, result.reason, tookMs);
     if (
       progress.usesObjectCache && outcome.depth === undefined &&
@@ -126,7 +126,7 @@
     if (result.kind === "not_run" && result.reason === "other_server") return;
     const { load, limitPerS, isDraining, backoffMs } = result.signals;
     if (load !== undefined) server.load.report(load);
-    options.rateLimits.note(server.listed.id, limitPerS);
+    options.rateLimits.record(server.listed.id, limitPerS);
     if (isDraining) options.registry.markDraining(server);
     if (backoffMs !== undefined) {
       options.backoffs.begin(server.listed.id, backoffMs);
@@ -141,15 +141,15 @@
     const { result, tookMs, utilizationAtStart } = outcome;
     if (result.kind !== "answer") return;
     if (result.signals.backoffMs !== undefined) {
-      return server.health.note("shed");
+      return server.health.recordOutcome("shed");
     }
     if (result.answer.status >= MIN_SERVER_ERROR_STATUS) {
-      return server.health.note("failed");
+      return server.health.recordOutcome("failed");
     }
-    server.health.note("answered");
+    server.health.recordOutcome("answered");
     const { route } = progress.request;
     latencyModel.recordAnswer(route, tookMs, utilizationAtStart);
-    runTimes.note(progress.service, tookMs);
+    runTimes.record(progress.service, tookMs);
     if (progress.usesObjectCache && utilizationAtStart < UNLOADED_UTILIZATION) {
       recordCacheResult(progress, outcome);
     }
@@ -186,10 +186,10 @@
     tookMs: number,
   ): void {
     if (reason === "client_left" || reason === "set_aside") return;
-    if (reason !== "timeout") return server.health.note("failed");
+    if (reason !== "timeout") return server.health.recordOutcome("failed");
     const sentAtMs = clock.monotonicMs() - tookMs;
-    if (server.health.wasHeardSince(sentAtMs)) return;
-    server.health.note("unreachable");
+    if (server.health.hasRespondedSince(sentAtMs)) return;
+    server.health.recordOutcome("unreachable");
   }
 
   return { recordAttempt };
--- a/src/serving/attempt_observer_test.ts
+++ b/src/serving/attempt_observer_test.ts
@@ -32,7 +32,7 @@
     cacheModel,
     cacheSizeEstimator,
     runTimes: createRunTimes(),
-    rateLimits: { note() {} },
+    rateLimits: { record() {} },
     backoffs: { begin() {} },
     registry,
   });
--- a/src/serving/front_server.ts
+++ b/src/serving/front_server.ts
@@ -166,10 +166,10 @@
     );
     if (options.isOverloaded()) await yieldToEventLoop();
     if (body === "cut" || hasDisconnected(message)) {
-      return callerCheck.giveBack(checked);
+      return callerCheck.refund(checked);
     }
     if (body === "too_large") {
-      callerCheck.giveBack(checked);
+      callerCheck.refund(checked);
       return sendStatus(response, 413, {});
     }
     const result = await handler.handle({
@@ -185,7 +185,7 @@
       arrivedAtMs,
       signal: createDisconnectSignal(response),
     });
-    if (result.kind === "refused") callerCheck.giveBack(checked);
+    if (result.kind === "refused") callerCheck.refund(checked);
     finish(result);
   }
 
--- a/src/serving/placer.ts
+++ b/src/serving/placer.ts
@@ -177,7 +177,7 @@
     const nowMs = clock.monotonicMs();
     return ranking.rank(service, region, objectKey).some((server) =>
       server.coldUntilMs <= nowMs && !server.health.isEjected() &&
-      permits.holds(server.listed)
+      permits.isValid(server.listed)
     );
   }
 
--- a/src/serving/request_handler.ts
+++ b/src/serving/request_handler.ts
@@ -16,9 +16,9 @@
 import type { Splitter } from "../routing/split.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Random } from "../runtime/random.ts";
-import type { EndCheck } from "../servers/end_check.ts";
+import type { CrashCheck } from "../servers/crash_check.ts";
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
-import type { PermitEnd, ServerPermits } from "../servers/permits.ts";
+import type { PermitOutcome, ServerPermits } from "../servers/permits.ts";
 import type { Log } from "../telemetry/log.ts";
 import type { DemandMeter } from "./demand_meter.ts";
 import type { Attempt, Exchange } from "./exchange.ts";
@@ -49,7 +49,7 @@
   latencyModel: LatencyModel;
   cacheModel: ObjectCacheModel;
   exchange: Exchange;
-  crashCheck: EndCheck;
+  crashCheck: CrashCheck;
   suspects: SuspectTracker;
   permits: ServerPermits;
   /** Rate limits of client accounts. */
@@ -98,7 +98,7 @@
   return fallback !== undefined || lost !== undefined;
 }
 
-function toPermitOutcome(result: ExchangeResult): PermitEnd {
+function toPermitOutcome(result: ExchangeResult): PermitOutcome {
   if (result.kind === "lost") return "lost";
   if (result.kind === "not_run") return "turned_away";
   if (result.kind !== "answer") return "not_sent";
@@ -205,7 +205,7 @@
       options.limiter.charge(request.account);
     }
     const startedAtMs = clock.monotonicMs();
-    const utilizationAtStart = server.load.getUse();
+    const utilizationAtStart = server.load.getUtilization();
     progress.lastUtilization = utilizationAtStart;
     const depth = progress.usesObjectCache
       ? cacheModel.recordRequest(server.listed.id, makeObjectName(progress))
@@ -215,7 +215,7 @@
       server.listed,
       request,
       remainingMs,
-      () => registry.isUsable(server) && options.permits.holds(server.listed),
+      () => registry.isUsable(server) && options.permits.isValid(server.listed),
     );
     const onClientLeft = () => attempt.abort("client_left");
     request.signal.addEventListener("abort", onClientLeft);
