--- a/bench/slopes/planner.ts
+++ b/bench/slopes/planner.ts
@@ -21,7 +21,7 @@
   const total = places.reduce((sum, { slots }) => sum + slots, 0);
   const at = Array.from({ length: regions }, () => [random(), random()]);
   return {
-    places,
+    domainCapacities: places,
     demand: Array.from({ length: regions }, (_, index) => ({
       region: `region-${index}`,
       slots: total * 0.8 / regions * (0.3 + 1.4 * random()),
@@ -43,7 +43,9 @@
   const time = (domains: number, current: "kept" | "changed") => {
     const input = makePlanInput(domains);
     const regionOf = new Map(
-      input.places.map(({ failureDomain, region }) => [failureDomain, region]),
+      input.domainCapacities.map((
+        { failureDomain, region },
+      ) => [failureDomain, region]),
     );
     const demandShare = Object.fromEntries(
       input.demand.map(({ region }) => [region, 1 / input.demand.length]),
@@ -52,7 +54,7 @@
       decidePlan({
         document,
         current: plan,
-        defaults: {},
+        defaultWeights: {},
         estimate: { input, demandShare },
         regionOf,
         blockCount: 330_000,
--- a/bench/steering/strategies.ts
+++ b/bench/steering/strategies.ts
@@ -99,7 +99,7 @@
     region,
     slots: demandAt(world, region, nowMs) * serviceMs / 1_000,
   }));
-  const places = known.input.places.map((place) => ({
+  const places = known.input.domainCapacities.map((place) => ({
     ...place,
     slots: place.slots / (1 - document.headroomShare),
   }));
@@ -135,7 +135,7 @@
   const { site } = world;
   const plan = decidePlan({
     document: withDrains(world, nowMs),
-    defaults: makeDefaultWeights(site.document, { ...site, wallMs: 0 }),
+    defaultWeights: makeDefaultWeights(site.document, { ...site, wallMs: 0 }),
     current: world.plan,
     estimate: estimateNow(world, nowMs),
     regionOf: world.site.regionOf,
--- a/src/control/agent.ts
+++ b/src/control/agent.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { applyConfigRow, createConfigView } from "../config/view.ts";
-import { forgetOldLoad, type LoadState } from "../measurement/state.ts";
+import { type LoadState, removeExpiredLoads } from "../measurement/state.ts";
 import {
   listServing,
   noteHeartbeat,
@@ -217,7 +217,7 @@
     if (isSlowTick) {
       links.sendElsewhere(heartbeat);
       if (self.role === "steer") views.sendOwn(throughVersion);
-      forgetOldLoad(loads, clock.monotonicMs());
+      removeExpiredLoads(loads, clock.monotonicMs());
     }
     checkReady();
   }
--- a/src/control/loads.ts
+++ b/src/control/loads.ts
@@ -8,7 +8,7 @@
 import {
   LOAD_REFRESH_MS,
   type LoadState,
-  noteLoad,
+  recordLoad,
 } from "../measurement/state.ts";
 import type { EntryLoad } from "../measurement/types.ts";
 import type { Member } from "../membership/types.ts";
@@ -59,7 +59,7 @@
 
   function receive(link: PeerLink, received: readonly EntryLoad[]): void {
     const nowMs = clock.monotonicMs();
-    for (const load of received) noteLoad(loads, load, nowMs);
+    for (const load of received) recordLoad(loads, load, nowMs);
     const from = links.get(link)?.member;
     if (!from || self.role !== "steer" || !isRelay()) return;
     if (from.failureDomain !== self.failureDomain) {
@@ -96,7 +96,7 @@
     report(exact) {
       const nowMs = clock.monotonicMs();
       const load = quantiseLoad(exact);
-      noteLoad(loads, load, nowMs);
+      recordLoad(loads, load, nowMs);
       const text = JSON.stringify(load);
       if (text === sentText && nowMs - sentMs < LOAD_REFRESH_MS) return;
       sentText = text;
--- a/src/forwarding/flow.ts
+++ b/src/forwarding/flow.ts
@@ -148,7 +148,7 @@
     const placing = {
       service: request.service,
       block: request.block,
-      row: steering.rowFor(request.service, request.callerRegion),
+      row: steering.getWeightRow(request.service, request.callerRegion),
       regionOf: agent.config().regionOf,
     };
     const region = pickRegion(placing);
--- a/src/forwarding/flow_test.ts
+++ b/src/forwarding/flow_test.ts
@@ -7,7 +7,7 @@
 import {
   LOAD_REFRESH_MS,
   type LoadState,
-  noteLoad,
+  recordLoad,
 } from "../measurement/state.ts";
 import type { Member, ObservedMember } from "../membership/types.ts";
 import { createFakeClock } from "../runtime/clock.ts";
@@ -118,7 +118,7 @@
   if (peerFiguresMs !== undefined) {
     const entryId = "a1-y/entry";
     const load = { entryId, failureDomain: "a1", utilization: 0, services: [] };
-    noteLoad(loads, load, clock.monotonicMs() - peerFiguresMs);
+    recordLoad(loads, load, clock.monotonicMs() - peerFiguresMs);
   }
   const agent = {
     self: makeMember("a1-x"),
@@ -144,7 +144,7 @@
   const peers = new FakePeers();
   const flow = createFlow({
     agent,
-    steering: { rowFor: () => row } as unknown as Steering,
+    steering: { getWeightRow: () => row } as unknown as Steering,
     runner,
     peers,
     links: createLinkLimiter(),
--- a/src/lookup/routes.ts
+++ b/src/lookup/routes.ts
@@ -84,7 +84,7 @@
       configNumber: inForce.number,
       fleet: config.fleet.document,
       client,
-      row: steering.rowFor(service, client.region),
+      row: steering.getWeightRow(service, client.region),
       planNumber: steering.planNumber(service),
       regionOf: config.regionOf,
       serving: agent.serving("entry")
--- a/src/measurement/quantise.ts
+++ b/src/measurement/quantise.ts
@@ -6,7 +6,7 @@
 import type { EntryLoad } from "./types.ts";
 
 /** Significant digits kept. */
-const DIGITS = 2;
+const SIGNIFICANT_DIGITS = 2;
 /** Steps of a utilization. */
 const UTILIZATION_STEPS = 20;
 
@@ -14,8 +14,8 @@
  * @param value Any figure.
  * @returns It, rounded to two significant digits.
  */
-export function roundFigure(value: number): number {
-  return value === 0 ? 0 : Number(value.toPrecision(DIGITS));
+export function roundToSignificantDigits(value: number): number {
+  return value === 0 ? 0 : Number(value.toPrecision(SIGNIFICANT_DIGITS));
 }
 
 /**
@@ -29,12 +29,12 @@
       UTILIZATION_STEPS,
     services: load.services.map((service) => ({
       ...service,
-      inFlight: roundFigure(service.inFlight),
-      serviceMs: roundFigure(service.serviceMs),
-      bytesPerRequest: roundFigure(service.bytesPerRequest),
+      inFlight: roundToSignificantDigits(service.inFlight),
+      serviceMs: roundToSignificantDigits(service.serviceMs),
+      bytesPerRequest: roundToSignificantDigits(service.bytesPerRequest),
       arrivals: service.arrivals.map(({ region, requestsPerS }) => ({
         region,
-        requestsPerS: roundFigure(requestsPerS),
+        requestsPerS: roundToSignificantDigits(requestsPerS),
       })),
     })),
   };
--- a/src/measurement/rate.ts
+++ b/src/measurement/rate.ts
@@ -12,7 +12,7 @@
 }
 
 /** Weight of the newest reading. */
-const SMOOTHING = 0.4;
+const SMOOTHING_FACTOR = 0.4;
 
 /**
  * @param startMs Monotonic time, in ms.
@@ -34,7 +34,7 @@
       lastMs = nowMs;
       smoothed = smoothed === undefined
         ? rate
-        : smoothed + SMOOTHING * (rate - smoothed);
+        : smoothed + SMOOTHING_FACTOR * (rate - smoothed);
       return smoothed;
     },
   };
@@ -48,14 +48,16 @@
 }
 
 /**
- * @param weight Weight of the newest value, 0 to 1.
+ * @param smoothingFactor Weight of the newest value, 0 to 1.
  * @returns An empty mean.
  */
-export function createMovingMean(weight: number): MovingMean {
+export function createMovingMean(smoothingFactor: number): MovingMean {
   let mean: number | undefined;
   return {
     add(value) {
-      mean = mean === undefined ? value : mean + weight * (value - mean);
+      mean = mean === undefined
+        ? value
+        : mean + smoothingFactor * (value - mean);
     },
     value: () => mean ?? 0,
   };
--- a/src/measurement/state.ts
+++ b/src/measurement/state.ts
@@ -11,7 +11,7 @@
 /** Figures that did not change are sent again after this time. */
 export const LOAD_REFRESH_MS = 2_000;
 /** Figures older than this are dropped altogether. */
-export const FORGET_AFTER_MS = 60_000;
+export const LOAD_RETENTION_MS = 60_000;
 
 /**
  * Takes in an entry's figures.
@@ -20,7 +20,7 @@
  * @param load The figures.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteLoad(
+export function recordLoad(
   state: LoadState,
   load: EntryLoad,
   nowMs: number,
@@ -34,8 +34,8 @@
  * @param state Changed in place.
  * @param nowMs Monotonic time, in ms.
  */
-export function forgetOldLoad(state: LoadState, nowMs: number): void {
+export function removeExpiredLoads(state: LoadState, nowMs: number): void {
   for (const [entryId, { receivedMs }] of state) {
-    if (nowMs - receivedMs > FORGET_AFTER_MS) state.delete(entryId);
+    if (nowMs - receivedMs > LOAD_RETENTION_MS) state.delete(entryId);
   }
 }
--- a/src/steering/assign.ts
+++ b/src/steering/assign.ts
@@ -5,14 +5,19 @@
  *
  * @module
  */
-import type { AssignInput, Place, WeightRow, Weights } from "./types.ts";
+import type {
+  AssignInput,
+  DomainCapacity,
+  WeightRow,
+  Weights,
+} from "./types.ts";
 
 /** Slots below this count as none. */
 const EPSILON_SLOTS = 1e-9;
 /** Exchanges that gain less than this, in ms, are not made. */
 const EPSILON_MS = 1e-6;
 /** Rounds of exchanges; each lowers the total delay. */
-const MAX_ROUNDS = 200;
+const MAX_EXCHANGE_ROUNDS = 200;
 
 /** Slots of one region's demand that run in another or the same region. */
 interface Flow {
@@ -26,7 +31,7 @@
   callers: string[];
   regions: string[];
   /** Index of each place's region. */
-  placeRegion: number[];
+  domainRegionIndex: number[];
   /** By caller's region. */
   demand: number[];
   /** By region. */
@@ -43,8 +48,8 @@
  */
 export function assign(input: AssignInput): Weights {
   const problem = makeProblem(input);
-  const flows = fillNearest(problem);
-  exchange(problem, flows);
+  const flows = assignNearestFirst(problem);
+  improveFlows(problem, flows);
   return Object.fromEntries(
     problem.callers.map((region, index) => [
       region,
@@ -55,59 +60,66 @@
 
 function makeProblem(input: AssignInput): RegionProblem {
   const callers = input.demand.map(({ region }) => region);
-  const regions = [...new Set(input.places.map(({ region }) => region))];
-  const forPairs = (value: (from: string, to: string) => number) =>
+  const regions = [
+    ...new Set(input.domainCapacities.map(({ region }) => region)),
+  ];
+  const mapPairs = (value: (from: string, to: string) => number) =>
     callers.map((from) => regions.map((to) => value(from, to)));
   const regionIndex = new Map(regions.map((name, index) => [name, index]));
   return {
     callers,
     regions,
-    placeRegion: input.places.map(({ region }) => regionIndex.get(region)!),
+    domainRegionIndex: input.domainCapacities.map(({ region }) =>
+      regionIndex.get(region)!
+    ),
     demand: input.demand.map(({ slots }) => slots),
     capacity: regions.map((region) =>
       sumOf(
-        input.places.filter((place) => place.region === region)
+        input.domainCapacities.filter((place) => place.region === region)
           .map(({ slots }) => slots),
       )
     ),
-    delayMs: forPairs(input.delayMs),
-    linkSlots: forPairs(input.linkSlots),
+    delayMs: mapPairs(input.delayMs),
+    linkSlots: mapPairs(input.linkSlots),
   };
 }
 
 /** @returns Slots by caller's region, then region. */
-function fillNearest(problem: RegionProblem): number[][] {
+function assignNearestFirst(problem: RegionProblem): number[][] {
   const { callers, regions, delayMs, linkSlots } = problem;
   const flows = callers.map(() => regions.map(() => 0));
   const demand = [...problem.demand];
   const capacity = [...problem.capacity];
   for (const { from, to } of listPairs(problem)) {
-    const taken = Math.min(demand[from], capacity[to], linkSlots[from][to]);
-    if (taken <= EPSILON_SLOTS || !Number.isFinite(delayMs[from][to])) continue;
-    flows[from][to] = taken;
-    demand[from] -= taken;
-    capacity[to] -= taken;
+    const slots = Math.min(demand[from], capacity[to], linkSlots[from][to]);
+    if (slots <= EPSILON_SLOTS || !Number.isFinite(delayMs[from][to])) continue;
+    flows[from][to] = slots;
+    demand[from] -= slots;
+    capacity[to] -= slots;
   }
   return flows;
 }
 
 /** Pairs by delay; among equals, those with the worst second way go first. */
 function listPairs({ callers, regions, delayMs }: RegionProblem) {
-  const secondMs = delayMs.map((row) => [...row].sort((a, b) => a - b)[1] ?? 0);
+  const secondNearestMs = delayMs.map((row) =>
+    [...row].sort((a, b) => a - b)[1] ?? 0
+  );
   const pairs = callers.flatMap((_, from) =>
     regions.map((_region, to) => ({ from, to }))
   );
   return pairs.sort((a, b) =>
     delayMs[a.from][a.to] - delayMs[b.from][b.to] ||
-    secondMs[b.from] - secondMs[a.from] || a.from - b.from || a.to - b.to
+    secondNearestMs[b.from] - secondNearestMs[a.from] || a.from - b.from ||
+    a.to - b.to
   );
 }
 
 /** Swaps the regions of two flows, or moves a flow, while that gains. */
-function exchange(problem: RegionProblem, flows: number[][]): void {
-  for (let round = 0; round < MAX_ROUNDS; round++) {
-    const moved = moveToFree(problem, flows);
-    const swapped = swapBest(problem, flows);
+function improveFlows(problem: RegionProblem, flows: number[][]): void {
+  for (let round = 0; round < MAX_EXCHANGE_ROUNDS; round++) {
+    const moved = moveToSpareCapacity(problem, flows);
+    const swapped = applyBestSwap(problem, flows);
     if (!moved && !swapped) return;
   }
 }
@@ -119,37 +131,40 @@
   );
 }
 
-function moveToFree(problem: RegionProblem, flows: number[][]): boolean {
+function moveToSpareCapacity(
+  problem: RegionProblem,
+  flows: number[][],
+): boolean {
   const { capacity, delayMs } = problem;
-  const used = capacity.map((_, to) => sumOf(flows.map((row) => row[to])));
+  const usedSlots = capacity.map((_, to) => sumOf(flows.map((row) => row[to])));
   let moved = false;
   for (const { from, to } of listFlows(flows)) {
     for (let other = 0; other < capacity.length; other++) {
       const gainMs = delayMs[from][to] - delayMs[from][other];
       if (gainMs <= EPSILON_MS) continue;
-      const room = Math.min(
-        capacity[other] - used[other],
-        freeLink(problem, flows, from, other),
+      const spareSlots = Math.min(
+        capacity[other] - usedSlots[other],
+        getSpareLinkSlots(problem, flows, from, other),
       );
-      const slots = Math.min(flows[from][to], room);
+      const slots = Math.min(flows[from][to], spareSlots);
       if (slots <= EPSILON_SLOTS) continue;
       flows[from][to] -= slots;
       flows[from][other] += slots;
-      used[to] -= slots;
-      used[other] += slots;
+      usedSlots[to] -= slots;
+      usedSlots[other] += slots;
       moved = true;
     }
   }
   return moved;
 }
 
-function swapBest(problem: RegionProblem, flows: number[][]): boolean {
+function applyBestSwap(problem: RegionProblem, flows: number[][]): boolean {
   const { delayMs } = problem;
-  const used = listFlows(flows);
+  const activeFlows = listFlows(flows);
   let best: { a: Flow; b: Flow; slots: number } | undefined;
   let bestGain = EPSILON_MS;
-  for (const a of used) {
-    for (const b of used) {
+  for (const a of activeFlows) {
+    for (const b of activeFlows) {
       if (a.from === b.from || a.to === b.to) continue;
       const gainMs = delayMs[a.from][a.to] + delayMs[b.from][b.to] -
         delayMs[a.from][b.to] - delayMs[b.from][a.to];
@@ -157,8 +172,8 @@
       const slots = Math.min(
         a.slots,
         b.slots,
-        freeLink(problem, flows, a.from, b.to),
-        freeLink(problem, flows, b.from, a.to),
+        getSpareLinkSlots(problem, flows, a.from, b.to),
+        getSpareLinkSlots(problem, flows, b.from, a.to),
       );
       if (slots <= EPSILON_SLOTS || gainMs * slots <= bestGain) continue;
       best = { a, b, slots };
@@ -174,7 +189,7 @@
   return true;
 }
 
-function freeLink(
+function getSpareLinkSlots(
   { linkSlots }: RegionProblem,
   flows: number[][],
   from: number,
@@ -186,14 +201,14 @@
 /** Inside a region, failure domains share by their slots. */
 function makeRow(
   input: AssignInput,
-  { placeRegion, capacity }: RegionProblem,
+  { domainRegionIndex: placeRegion, capacity }: RegionProblem,
   flow: number[],
   caller: string,
 ): WeightRow {
   const total = sumOf(flow);
   if (total <= EPSILON_SLOTS) return makeNearestRow(input, caller);
   const row: WeightRow = {};
-  input.places.forEach((place, number) => {
+  input.domainCapacities.forEach((place, number) => {
     const index = placeRegion[number];
     if (flow[index] <= EPSILON_SLOTS || place.slots <= 0) return;
     const share = place.slots / capacity[index];
@@ -204,11 +219,14 @@
 
 /** Without demand or capacity, callers belong to the nearest usable region. */
 function makeNearestRow(input: AssignInput, from: string): WeightRow {
-  const usable = input.places.filter((place) => place.slots > EPSILON_SLOTS);
-  const places = usable.length > 0 ? usable : input.places;
-  const delayOf = (place: Place) => input.delayMs(from, place.region);
-  const nearestMs = Math.min(...places.map(delayOf));
-  const nearest = places.filter((place) => delayOf(place) === nearestMs);
+  const usable = input.domainCapacities.filter((place) =>
+    place.slots > EPSILON_SLOTS
+  );
+  const candidates = usable.length > 0 ? usable : input.domainCapacities;
+  const getDelayMs = (place: DomainCapacity) =>
+    input.delayMs(from, place.region);
+  const nearestMs = Math.min(...candidates.map(getDelayMs));
+  const nearest = candidates.filter((place) => getDelayMs(place) === nearestMs);
   const slots = sumOf(nearest.map((place) => place.slots));
   return Object.fromEntries(
     nearest.map((place) => [
@@ -219,11 +237,11 @@
 }
 
 /** What a plan would do to places. */
-export interface PlanEffect {
+export interface WeightAssessment {
   /** Mean one-way delay of the demand, in ms. */
   meanDelayMs: number;
   /** Largest share of a place's slots that is used; Infinity for a place with none. */
-  highestUse: number;
+  maxUtilization: number;
 }
 
 /**
@@ -233,31 +251,35 @@
  * @param weights The weights to judge.
  * @returns Their effect.
  */
-export function judgeWeights(input: AssignInput, weights: Weights): PlanEffect {
-  const places = new Map(
-    input.places.map((place) => [place.failureDomain, place]),
+export function assessWeights(
+  input: AssignInput,
+  weights: Weights,
+): WeightAssessment {
+  const capacities = new Map(
+    input.domainCapacities.map((place) => [place.failureDomain, place]),
   );
-  const used = new Map<string, number>();
+  const usedSlots = new Map<string, number>();
   let delaySum = 0;
   let demandSum = 0;
   for (const { region, slots } of input.demand) {
     demandSum += slots;
     for (const [domain, weight] of Object.entries(weights[region] ?? {})) {
-      const place = places.get(domain);
+      const domainCapacity = capacities.get(domain);
       if (weight <= 0) continue;
-      used.set(domain, (used.get(domain) ?? 0) + slots * weight);
-      if (place) {
-        delaySum += slots * weight * input.delayMs(region, place.region);
+      usedSlots.set(domain, (usedSlots.get(domain) ?? 0) + slots * weight);
+      if (domainCapacity) {
+        delaySum += slots * weight *
+          input.delayMs(region, domainCapacity.region);
       }
     }
   }
-  const uses = [...used].map(([domain, slots]) => {
-    const capacity = places.get(domain)?.slots ?? 0;
+  const utilizations = [...usedSlots].map(([domain, slots]) => {
+    const capacity = capacities.get(domain)?.slots ?? 0;
     return capacity > 0 ? slots / capacity : Infinity;
   });
   return {
     meanDelayMs: demandSum > 0 ? delaySum / demandSum : 0,
-    highestUse: Math.max(0, ...uses),
+    maxUtilization: Math.max(0, ...utilizations),
   };
 }
 
--- a/src/steering/assign_test.ts
+++ b/src/steering/assign_test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { assign, judgeWeights } from "./assign.ts";
-import type { AssignInput, Place } from "./types.ts";
+import { assessWeights, assign } from "./assign.ts";
+import type { AssignInput, DomainCapacity } from "./types.ts";
 
 const SEED = 20261202;
 
@@ -29,7 +29,9 @@
   return {
     demand: Object.entries(demand)
       .map(([region, needed]) => ({ region, slots: needed })),
-    places: Object.entries(slots).map(([failureDomain, free]): Place => ({
+    domainCapacities: Object.entries(slots).map((
+      [failureDomain, free],
+    ): DomainCapacity => ({
       failureDomain,
       region: failureDomain[0],
       slots: free,
@@ -98,7 +100,7 @@
       }
       const needed = sumOf(demand);
       if (needed > 0 && needed <= sumOf(slots)) {
-        assert.ok(judgeWeights(input, weights).highestUse <= 1 + 1e-9);
+        assert.ok(assessWeights(input, weights).maxUtilization <= 1 + 1e-9);
       }
     }),
     { seed: SEED, numRuns: 2_000 },
@@ -178,7 +180,7 @@
         const needed = sumOf(demand);
         fc.pre(needed > 0 && needed <= sumOf(slots));
         const input = makeInput(demand, slots, { delays });
-        const cost = judgeWeights(input, assign(input)).meanDelayMs * needed;
+        const cost = assessWeights(input, assign(input)).meanDelayMs * needed;
         const optimum = findOptimum(demand, slots, delays);
         assert.ok(cost >= optimum - 1e-6, "better than the optimum");
         regrets.push((cost - optimum) / needed);
--- a/src/steering/decide.ts
+++ b/src/steering/decide.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import type { ServiceDocument } from "../config/schema.ts";
-import { assign, judgeWeights } from "./assign.ts";
+import { assessWeights, assign } from "./assign.ts";
 import type { Estimate } from "./estimate.ts";
 import {
-  getSharedBudget,
-  getSharedShare,
-  keepRecent,
-  LEAD_MS,
+  getRemainingBudget,
+  getSharedCap,
+  listCountedSteps,
   measureShift,
+  PLAN_LEAD_TIME_MS,
   type ShiftCap,
   stepTowards,
 } from "./shift.ts";
@@ -21,9 +21,9 @@
 const TOLERATED_DELAY_MS = 0.5;
 const TOLERATED_DELAY_SHARE = 0.05;
 /** Excess use that is not worth a move. */
-const TOLERATED_USE = 0.02;
+const TOLERATED_EXCESS_UTILIZATION = 0.02;
 /** A step smaller than this part of the shared budget waits for more. */
-const SMALLEST_STEP = 0.25;
+const MIN_STEP_FRACTION = 0.25;
 /** Differences below this are none. */
 const EPSILON = 1e-6;
 
@@ -33,7 +33,7 @@
   /** The plan in force, if any. */
   current: Plan | undefined;
   /** Weights that processes act on before any plan. */
-  defaults: Weights;
+  defaultWeights: Weights;
   estimate: Estimate;
   regionOf: RegionOf;
   /** Client blocks of the fleet. */
@@ -59,41 +59,42 @@
  */
 export function decidePlan(input: DecideInput): Plan | undefined {
   const { current, estimate, document } = input;
-  if (current === undefined) return makePlan(input, input.defaults, 0);
+  if (current === undefined) return makePlan(input, input.defaultWeights, 0);
   if (input.wallMs < current.effectiveAtMs) return undefined;
   const target = assign(estimate.input);
-  if (isGoodEnough(estimate.input, current.weights, target)) return undefined;
+  if (isAcceptable(estimate.input, current.weights, target)) return undefined;
   const change = {
     from: current.weights,
     to: target,
     regionOf: input.regionOf,
   };
   const cap = getShiftCap(document);
-  const sharedShare = getSharedShare(cap.maxShare, input.blockCount);
-  const budget = getSharedBudget(
-    { ...cap, sharedShare },
+  const sharedCap = getSharedCap(cap.maxShare, input.blockCount);
+  const budget = getRemainingBudget(
+    { ...cap, sharedCap },
     current.trail,
-    input.wallMs + LEAD_MS,
+    input.wallMs + PLAN_LEAD_TIME_MS,
   );
-  const wanted = measureShift(change, estimate.demandShare);
-  const smallest = sharedShare * SMALLEST_STEP;
-  if (wanted > budget && budget < smallest) return undefined;
+  const requiredShare = measureShift(change, estimate.demandShare);
+  const minBudget = sharedCap * MIN_STEP_FRACTION;
+  if (requiredShare > budget && budget < minBudget) return undefined;
   const next = stepTowards(change, {
     budget,
     demandShare: estimate.demandShare,
-    isUrgent: (region) => leavesDeadPlace(estimate.input, current, region),
+    isUrgent: (region) =>
+      usesUnavailableDomain(estimate.input, current, region),
   });
   const share = measureShift({ ...change, to: next }, estimate.demandShare);
-  if (share < EPSILON && isSame(current.weights, next)) return undefined;
+  if (share < EPSILON && areEqual(current.weights, next)) return undefined;
   return makePlan(input, next, share);
 }
 
 function makePlan(input: DecideInput, weights: Weights, share: number): Plan {
   const { document, current, estimate, epoch, wallMs } = input;
   const number = (current?.number ?? 0) + 1;
-  const effectiveAtMs = wallMs + LEAD_MS;
+  const effectiveAtMs = wallMs + PLAN_LEAD_TIME_MS;
   const cap = getShiftCap(document);
-  const trail = keepRecent(current?.trail ?? [], cap, wallMs);
+  const trail = listCountedSteps(current?.trail ?? [], cap, wallMs);
   return {
     service: document.service,
     number,
@@ -105,7 +106,7 @@
   };
 }
 
-function isGoodEnough(
+function isAcceptable(
   input: AssignInput,
   current: Weights,
   target: Weights,
@@ -113,26 +114,29 @@
   if (input.demand.some(({ region }) => current[region] === undefined)) {
     return false;
   }
-  const now = judgeWeights(input, current);
-  const best = judgeWeights(input, target);
-  const allowedUse = Math.max(1, best.highestUse) + TOLERATED_USE;
-  const allowedDelayMs = best.meanDelayMs * (1 + TOLERATED_DELAY_SHARE) +
+  const currentAssessment = assessWeights(input, current);
+  const targetAssessment = assessWeights(input, target);
+  const allowedUtilization = Math.max(1, targetAssessment.maxUtilization) +
+    TOLERATED_EXCESS_UTILIZATION;
+  const allowedDelayMs =
+    targetAssessment.meanDelayMs * (1 + TOLERATED_DELAY_SHARE) +
     TOLERATED_DELAY_MS;
-  return now.highestUse <= allowedUse && now.meanDelayMs <= allowedDelayMs;
+  return currentAssessment.maxUtilization <= allowedUtilization &&
+    currentAssessment.meanDelayMs <= allowedDelayMs;
 }
 
-function leavesDeadPlace(
+function usesUnavailableDomain(
   input: AssignInput,
   current: Plan,
   region: string,
 ): boolean {
   const row = current.weights[region] ?? {};
-  return input.places.some((place) =>
+  return input.domainCapacities.some((place) =>
     place.slots === 0 && (row[place.failureDomain] ?? 0) > 0
   );
 }
 
-function isSame(a: Weights, b: Weights): boolean {
+function areEqual(a: Weights, b: Weights): boolean {
   return Object.entries(b).every(([region, row]) => {
     const other = a[region] ?? {};
     const domains = new Set([...Object.keys(row), ...Object.keys(other)]);
--- a/src/steering/defaults.ts
+++ b/src/steering/defaults.ts
@@ -10,7 +10,7 @@
 import type { RegionOf, Weights } from "./types.ts";
 
 /** What the weights depend on besides the service's document. */
-export interface DefaultContext {
+export interface DefaultWeightsContext {
   fleet: FleetDocument;
   regionOf: RegionOf;
   /** Wall-clock time, in ms since the epoch; decides which drains are on. */
@@ -24,7 +24,7 @@
  */
 export function makeDefaultWeights(
   document: ServiceDocument,
-  { fleet, regionOf, wallMs }: DefaultContext,
+  { fleet, regionOf, wallMs }: DefaultWeightsContext,
 ): Weights {
   const declared = estimate({
     document,
--- a/src/steering/estimate.ts
+++ b/src/steering/estimate.ts
@@ -13,17 +13,22 @@
 import { isDomainDrained, isServerDrained } from "../draining/logic.ts";
 import { LOAD_REFRESH_MS, type LoadState } from "../measurement/state.ts";
 import type { ServiceLoad } from "../measurement/types.ts";
-import type { AssignInput, CallerDemand, Place, RegionOf } from "./types.ts";
+import type {
+  AssignInput,
+  CallerDemand,
+  DomainCapacity,
+  RegionOf,
+} from "./types.ts";
 
 /** Figures younger than this count in full. */
-const FRESH_MS = 2 * LOAD_REFRESH_MS;
+const FRESH_LOAD_AGE_MS = 2 * LOAD_REFRESH_MS;
 /** Reserve added for each second of age beyond that. */
-const RESERVE_PER_S = 0.02;
-const MAX_AGE_RESERVE = 0.3;
+const RESERVE_SHARE_PER_S = 0.02;
+const MAX_AGE_RESERVE_SHARE = 0.3;
 /** Part of a link that plans may fill. */
-const LINK_FILL = 0.85;
+const MAX_LINK_FILL_SHARE = 0.85;
 /** Demand of a region that nothing is known of, in requests a second. */
-const UNKNOWN_REQUESTS_PER_S = 1;
+const FALLBACK_REQUESTS_PER_S = 1;
 const DEFAULT_BYTES_PER_REQUEST = 2_000;
 
 /** What is known at the time of a decision. */
@@ -50,37 +55,38 @@
   demandShare: Record<RegionName, number>;
 }
 
-interface Report {
+interface LoadReport {
   domain: string;
   load: ServiceLoad;
   ageMs: number;
 }
 
 /**
- * @param known What is known.
+ * @param input What is known.
  * @returns The estimate.
  */
-export function estimate(known: EstimateInput): Estimate {
-  const reports = listReports(known);
-  const serviceMs = estimateServiceMs(known, reports);
-  const demand = estimateDemand(known, reports, serviceMs);
+export function estimate(input: EstimateInput): Estimate {
+  const reports = listReports(input);
+  const serviceMs = estimateServiceMs(input, reports);
+  const demand = estimateDemand(input, reports, serviceMs);
   const total = demand.reduce((sum, { slots }) => sum + slots, 0);
   const demandShare = Object.fromEntries(
     demand.map(({ region, slots }) => [region, total > 0 ? slots / total : 0]),
   );
-  const bytes = estimateBytes(reports);
+  const bytesPerRequest = estimateBytesPerRequest(reports);
   return {
     demandShare,
     input: {
       demand,
-      places: estimatePlaces(known, reports),
-      delayMs: (from, to) => getDelayMs(known.fleet, from, to),
+      domainCapacities: estimateDomainCapacities(input, reports),
+      delayMs: (from, to) => getDelayMs(input.fleet, from, to),
       linkSlots(from, to) {
         if (from === to) return Infinity;
-        const link = findLink(known.fleet, from, to);
+        const link = findLink(input.fleet, from, to);
         if (link === undefined) return 0;
-        const share = link.limitBytesPerS * LINK_FILL / known.serviceCount;
-        return share / bytes * serviceMs / 1_000;
+        const bytesPerS = link.limitBytesPerS * MAX_LINK_FILL_SHARE /
+          input.serviceCount;
+        return bytesPerS / bytesPerRequest * serviceMs / 1_000;
       },
     },
   };
@@ -112,7 +118,7 @@
     fleet.links.find((link) => link.from === to && link.to === from);
 }
 
-function listReports({ document, loads, nowMs }: EstimateInput): Report[] {
+function listReports({ document, loads, nowMs }: EstimateInput): LoadReport[] {
   return [...loads.values()].flatMap(({ load, receivedMs }) =>
     load.services
       .filter(({ service }) => service === document.service)
@@ -126,91 +132,102 @@
 
 function estimateServiceMs(
   { document }: EstimateInput,
-  reports: readonly Report[],
+  reports: readonly LoadReport[],
 ): number {
-  const seen = reports.filter(({ load }) => load.serviceMs > 0);
-  if (seen.length === 0) return document.expectedServiceMs;
-  const weightOf = ({ load }: Report) => load.inFlight + 1;
-  const weights = seen.reduce((sum, report) => sum + weightOf(report), 0);
-  return seen.reduce(
+  const measuredReports = reports.filter(({ load }) => load.serviceMs > 0);
+  if (measuredReports.length === 0) return document.expectedServiceMs;
+  const weightOf = ({ load }: LoadReport) => load.inFlight + 1;
+  const weights = measuredReports.reduce(
+    (sum, report) => sum + weightOf(report),
+    0,
+  );
+  return measuredReports.reduce(
     (sum, report) => sum + report.load.serviceMs * weightOf(report) / weights,
     0,
   );
 }
 
 function estimateDemand(
-  known: EstimateInput,
-  reports: readonly Report[],
+  input: EstimateInput,
+  reports: readonly LoadReport[],
   serviceMs: number,
 ): CallerDemand[] {
-  return known.fleet.regions.map(({ name }) => {
-    const requestsPerS = estimateRequests(known, reports, name);
+  return input.fleet.regions.map(({ name }) => {
+    const requestsPerS = estimateRequestsPerS(input, reports, name);
     return { region: name, slots: requestsPerS * serviceMs / 1_000 };
   });
 }
 
-function estimateRequests(
+function estimateRequestsPerS(
   { document, aliveDomains }: EstimateInput,
-  reports: readonly Report[],
+  reports: readonly LoadReport[],
   region: string,
 ): number {
   const declared = document.expectedRequestsPerS[region] ??
-    UNKNOWN_REQUESTS_PER_S;
-  const fresh = new Set(
-    reports.filter(({ ageMs }) => ageMs <= FRESH_MS)
+    FALLBACK_REQUESTS_PER_S;
+  const freshDomains = new Set(
+    reports.filter(({ ageMs }) => ageMs <= FRESH_LOAD_AGE_MS)
       .map(({ domain }) => domain),
   );
   // What a silent domain's entries carry is not known, so it is not nothing.
-  const isComplete = [...aliveDomains].every((domain) => fresh.has(domain));
-  const seen = reports.flatMap(({ load }) => load.arrivals)
+  const isComplete = [...aliveDomains].every((domain) =>
+    freshDomains.has(domain)
+  );
+  const measuredPerS = reports.flatMap(({ load }) => load.arrivals)
     .filter((arrivals) => arrivals.region === region)
     .reduce((sum, { requestsPerS }) => sum + requestsPerS, 0);
-  if (!isComplete) return Math.max(seen, declared);
-  return Math.max(seen, UNKNOWN_REQUESTS_PER_S);
+  if (!isComplete) return Math.max(measuredPerS, declared);
+  return Math.max(measuredPerS, FALLBACK_REQUESTS_PER_S);
 }
 
-function estimateBytes(reports: readonly Report[]): number {
-  const seen = reports.map(({ load }) => load.bytesPerRequest)
+function estimateBytesPerRequest(reports: readonly LoadReport[]): number {
+  const measuredBytes = reports.map(({ load }) => load.bytesPerRequest)
     .filter((bytes) => bytes > 0);
-  if (seen.length === 0) return DEFAULT_BYTES_PER_REQUEST;
-  return seen.reduce((sum, bytes) => sum + bytes, 0) / seen.length;
+  if (measuredBytes.length === 0) return DEFAULT_BYTES_PER_REQUEST;
+  return measuredBytes.reduce((sum, bytes) => sum + bytes, 0) /
+    measuredBytes.length;
 }
 
-function estimatePlaces(
-  known: EstimateInput,
-  reports: readonly Report[],
-): Place[] {
+function estimateDomainCapacities(
+  input: EstimateInput,
+  reports: readonly LoadReport[],
+): DomainCapacity[] {
   const domains = new Set(
-    known.document.backendServers.map((server) => server.failureDomain),
+    input.document.backendServers.map((server) => server.failureDomain),
   );
   return [...domains].map((failureDomain) => ({
     failureDomain,
-    region: known.regionOf.get(failureDomain) ?? failureDomain,
-    slots: estimateSlots(known, reports, failureDomain),
+    region: input.regionOf.get(failureDomain) ?? failureDomain,
+    slots: estimateSlots(input, reports, failureDomain),
   }));
 }
 
 function estimateSlots(
-  known: EstimateInput,
-  reports: readonly Report[],
+  input: EstimateInput,
+  reports: readonly LoadReport[],
   domain: string,
 ): number {
-  const { document, aliveDomains, leavingServers } = known;
+  const { document, aliveDomains, leavingServers } = input;
   if (!aliveDomains.has(domain)) return 0;
-  if (isDomainDrained(document, domain, known)) return 0;
+  if (isDomainDrained(document, domain, input)) return 0;
   const declared = document.backendServers
     .filter((server) =>
       server.failureDomain === domain && !leavingServers.has(server.id) &&
-      !isServerDrained(document, server, known)
+      !isServerDrained(document, server, input)
     )
     .reduce((sum, { slots }) => sum + slots, 0);
-  const own = reports.filter((report) => report.domain === domain);
-  const reported = own.reduce((sum, { load }) => sum + load.usableSlots, 0);
-  const slots = own.length > 0 ? Math.min(declared, reported) : declared;
-  const ageMs = own.length > 0
-    ? Math.max(...own.map((report) => report.ageMs))
+  const domainReports = reports.filter((report) => report.domain === domain);
+  const reported = domainReports.reduce(
+    (sum, { load }) => sum + load.usableSlots,
+    0,
+  );
+  const slots = domainReports.length > 0
+    ? Math.min(declared, reported)
+    : declared;
+  const ageMs = domainReports.length > 0
+    ? Math.max(...domainReports.map((report) => report.ageMs))
     : Infinity;
-  return slots * (1 - getReserve(document.headroomShare, ageMs));
+  return slots * (1 - getReserveShare(document.headroomShare, ageMs));
 }
 
 /**
@@ -218,8 +235,11 @@
  * @param ageMs Age of the oldest figure used, in ms.
  * @returns Share of the slots that plans leave free.
  */
-export function getReserve(headroomShare: number, ageMs: number): number {
-  const lateS = Math.max(0, ageMs - FRESH_MS) / 1_000;
-  const forAge = Math.min(MAX_AGE_RESERVE, lateS * RESERVE_PER_S);
-  return Math.min(0.9, headroomShare + forAge);
+export function getReserveShare(headroomShare: number, ageMs: number): number {
+  const excessAgeS = Math.max(0, ageMs - FRESH_LOAD_AGE_MS) / 1_000;
+  const ageReserveShare = Math.min(
+    MAX_AGE_RESERVE_SHARE,
+    excessAgeS * RESERVE_SHARE_PER_S,
+  );
+  return Math.min(0.9, headroomShare + ageReserveShare);
 }
--- a/src/steering/estimate_test.ts
+++ b/src/steering/estimate_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import { fleetSchema, serviceSchema } from "../config/schema.ts";
 import type { LoadState } from "../measurement/state.ts";
-import { estimate, type EstimateInput, getReserve } from "./estimate.ts";
+import { estimate, type EstimateInput, getReserveShare } from "./estimate.ts";
 
 const endpoint = {
   caller: "127.0.0.1:1",
@@ -79,7 +79,7 @@
     input.demand.map(({ region, slots }) => [region, slots]),
   );
   const slots = Object.fromEntries(
-    input.places.map((place) => [place.failureDomain, place.slots]),
+    input.domainCapacities.map((place) => [place.failureDomain, place.slots]),
   );
   return { demand, slots, input };
 }
@@ -177,7 +177,7 @@
 
 test("the reserve grows with age, to a bound", () => {
   const reserves = [0, 4_000, 9_000, 900_000].map((ageMs) =>
-    Number(getReserve(0.1, ageMs).toFixed(3))
+    Number(getReserveShare(0.1, ageMs).toFixed(3))
   );
   assert.equal(reserves, [0.1, 0.1, 0.2, 0.4]);
 });
--- a/src/steering/follower.ts
+++ b/src/steering/follower.ts
@@ -7,9 +7,9 @@
  */
 import {
   interpolateRow,
-  keepRecent,
-  LATENESS_MS,
-  LOCAL_PART,
+  listCountedSteps,
+  LOCAL_CAP_FRACTION,
+  MAX_STEP_DELAY_MS,
   measureLargestRowShift,
   measureRowShift,
   type ShiftCap,
@@ -66,27 +66,27 @@
 ): void {
   if (plan.number < state.number) return;
   if (state.inStep && plan.number === state.number) return;
-  if (state.number === 0 || isNextStep(state, plan, context)) {
+  if (state.number === 0 || hasAllStepsOnTime(state, plan, context)) {
     if (state.number > 0 && context.wallMs < plan.effectiveAtMs) return;
     state.weights = plan.weights;
     state.number = plan.number;
     state.inStep = true;
     return;
   }
-  walkTowards(state, plan.weights, context);
-  const reached = measureLargestRowShift({
+  moveWithinLocalCap(state, plan.weights, context);
+  const remainingShift = measureLargestRowShift({
     from: state.weights,
     to: plan.weights,
     regionOf: context.regionOf,
   });
-  if (reached > 1e-9) return;
+  if (remainingShift > 1e-9) return;
   state.weights = plan.weights;
   state.number = plan.number;
   state.inStep = true;
 }
 
 /** All steps since the one in force are in the trail, and none is late. */
-function isNextStep(
+function hasAllStepsOnTime(
   state: FollowerState,
   plan: Plan,
   { wallMs }: FollowContext,
@@ -96,7 +96,7 @@
   const complete = missing.length === plan.number - state.number;
   return complete &&
     missing.every((step) =>
-      step.share === 0 || wallMs - step.atMs <= LATENESS_MS
+      step.share === 0 || wallMs - step.atMs <= MAX_STEP_DELAY_MS
     );
 }
 
@@ -107,24 +107,27 @@
  * @param target Weights wanted.
  * @param context Time and cap.
  */
-export function walkTowards(
+export function moveWithinLocalCap(
   state: FollowerState,
   target: Weights,
   { cap, regionOf, nowMs }: FollowContext,
 ): void {
-  state.moves = keepRecent(state.moves, cap, nowMs);
+  state.moves = listCountedSteps(state.moves, cap, nowMs);
   const spent = state.moves.reduce((sum, move) => sum + move.share, 0);
-  const budget = Math.max(0, cap.maxShare * LOCAL_PART - spent);
+  const budget = Math.max(0, cap.maxShare * LOCAL_CAP_FRACTION - spent);
   const next: Weights = {};
-  let largest = 0;
-  for (const [region, wanted] of Object.entries(target)) {
-    const start = state.weights[region] ?? wanted;
-    const distance = measureRowShift(start, wanted, regionOf);
-    const part = distance <= budget ? 1 : budget / distance;
-    next[region] = interpolateRow(start, wanted, { part, regionOf });
-    largest = Math.max(largest, distance * part);
+  let largestShift = 0;
+  for (const [region, targetRow] of Object.entries(target)) {
+    const startRow = state.weights[region] ?? targetRow;
+    const shift = measureRowShift(startRow, targetRow, regionOf);
+    const fraction = shift <= budget ? 1 : budget / shift;
+    next[region] = interpolateRow(startRow, targetRow, {
+      part: fraction,
+      regionOf,
+    });
+    largestShift = Math.max(largestShift, shift * fraction);
   }
   state.inStep = false;
   state.weights = next;
-  if (largest > 0) state.moves.push({ atMs: nowMs, share: largest });
+  if (largestShift > 0) state.moves.push({ atMs: nowMs, share: largestShift });
 }
--- a/src/steering/lease.ts
+++ b/src/steering/lease.ts
@@ -89,7 +89,7 @@
  * @param row The row as read or written.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteLeaseRow(
+export function recordLease(
   state: LeaseState,
   row: Row,
   nowMs: number,
--- a/src/steering/lease_test.ts
+++ b/src/steering/lease_test.ts
@@ -10,14 +10,14 @@
   LEASE_TERM_MS,
   type LeaseAction,
   type LeaseState,
-  noteLeaseRow,
+  recordLease,
 } from "./lease.ts";
 
 const SEED = 20261202;
 const PLAN_KEY = "plan/s";
 
 /** A decision that is written some steps after it was made. */
-interface Pending {
+interface PendingWrite {
   action: Extract<LeaseAction, { action: "write" }>;
   planVersion: number;
   delay: number;
@@ -26,7 +26,7 @@
 interface Candidate {
   state: LeaseState;
   pausedSteps: number;
-  pending: Pending | undefined;
+  pending: PendingWrite | undefined;
 }
 
 async function writePending(
@@ -102,7 +102,7 @@
             const { epoch = 0 } = row.version > 0 ? JSON.parse(row.value) : {};
             assert.ok(epoch >= leaseEpoch, "the lease's epoch fell");
             leaseEpoch = epoch;
-            if (row.version > 0) noteLeaseRow(candidate.state, row, nowMs);
+            if (row.version > 0) recordLease(candidate.state, row, nowMs);
             const plan = (await table.read(PLAN_KEY))._unsafeUnwrap();
             const action = decideLease(candidate.state, rank, nowMs);
             if (action.action === "wait") continue;
@@ -125,7 +125,7 @@
   const state = createLeaseState("b", 1, 0);
   const lease = { holder: "a", incarnation: 1, epoch: 4 };
   const value = JSON.stringify(lease);
-  noteLeaseRow(state, { key: LEASE_KEY, version: 9, writeId: "", value }, 0);
+  recordLease(state, { key: LEASE_KEY, version: 9, writeId: "", value }, 0);
   assert.is(decideLease(state, 0, LEASE_TERM_MS - 1).action, "wait");
   assert.equal(decideLease(state, 0, LEASE_TERM_MS), {
     action: "write",
@@ -137,7 +137,7 @@
 test("a new process of the same VM does not take itself for the holder", () => {
   const state = createLeaseState("a", 2, 0);
   const value = JSON.stringify({ holder: "a", incarnation: 1, epoch: 4 });
-  noteLeaseRow(state, { key: LEASE_KEY, version: 9, writeId: "", value }, 0);
+  recordLease(state, { key: LEASE_KEY, version: 9, writeId: "", value }, 0);
   assert.is(isHolder(state), false);
 });
 
--- a/src/steering/local_target.ts
+++ b/src/steering/local_target.ts
@@ -25,33 +25,38 @@
   return Object.fromEntries(
     Object.entries(input.weights).map(([region, row]) => [
       region,
-      moveFromLost(input, region, row),
+      reassignLostRegions(input, region, row),
     ]),
   );
 }
 
-function moveFromLost(
+function reassignLostRegions(
   { aliveRegions, regionOf, delayMs }: LocalTargetInput,
   callerRegion: string,
   row: WeightRow,
 ): WeightRow {
   const sums = sumByRegion(row, regionOf);
-  const lost = Object.entries(sums)
+  const lostWeight = Object.entries(sums)
     .filter(([region]) => !aliveRegions.has(region))
     .reduce((sum, [, weight]) => sum + weight, 0);
-  const alive = [...aliveRegions].sort((a, b) =>
+  const regionsByDelay = [...aliveRegions].sort((a, b) =>
     delayMs(callerRegion, a) - delayMs(callerRegion, b) || a.localeCompare(b)
   );
-  if (lost === 0 || alive.length === 0) return row;
-  const heir = alive[0];
-  const kept = Object.entries(row).filter(([domain]) =>
+  if (lostWeight === 0 || regionsByDelay.length === 0) return row;
+  const substituteRegion = regionsByDelay[0];
+  const remainingWeights = Object.entries(row).filter(([domain]) =>
     aliveRegions.has(regionOf.get(domain) ?? "")
   );
-  const heirs = [...regionOf].filter(([, region]) => region === heir)
+  const substituteDomains = [...regionOf].filter(([, region]) =>
+    region === substituteRegion
+  )
     .map(([domain]) => domain);
-  const target = new Map(kept);
-  for (const domain of heirs) {
-    target.set(domain, (target.get(domain) ?? 0) + lost / heirs.length);
+  const target = new Map(remainingWeights);
+  for (const domain of substituteDomains) {
+    target.set(
+      domain,
+      (target.get(domain) ?? 0) + lostWeight / substituteDomains.length,
+    );
   }
   return Object.fromEntries(target);
 }
--- a/src/steering/place.ts
+++ b/src/steering/place.ts
@@ -9,7 +9,7 @@
 import type { RegionOf, WeightRow } from "./types.ts";
 
 /** What a place is picked for. */
-export interface PlaceRequest {
+export interface PlacementRequest {
   service: string;
   /** The client's block. */
   block: string;
@@ -24,7 +24,7 @@
  * @param request What to place.
  * @returns The region, or undefined where the row is empty.
  */
-export function pickRegion(request: PlaceRequest): string | undefined {
+export function pickRegion(request: PlacementRequest): string | undefined {
   const { service, block, row, regionOf } = request;
   const regions = Object.entries(sumByRegion(row, regionOf))
     .map(([id, weight]) => ({ id, weight }));
@@ -37,12 +37,15 @@
  * @returns Them, best first; those without weight come last.
  */
 export function rankDomains(
-  request: PlaceRequest,
+  request: PlacementRequest,
   usable: readonly string[],
 ): string[] {
   const { service, block, row } = request;
-  const spare = 1e-6;
-  const domains = usable.map((id) => ({ id, weight: (row[id] ?? 0) + spare }));
+  const minWeight = 1e-6;
+  const domains = usable.map((id) => ({
+    id,
+    weight: (row[id] ?? 0) + minWeight,
+  }));
   return rankByRendezvous(`domain ${service} ${block}`, domains)
     .map(({ id }) => id);
 }
--- a/src/steering/plan_rows.ts
+++ b/src/steering/plan_rows.ts
@@ -7,7 +7,7 @@
 import { type Plan, planSchema } from "./types.ts";
 
 /** Plans by their row, which never changes once it is made. */
-const parsed = new WeakMap<Row, Plan>();
+const planCache = new WeakMap<Row, Plan>();
 
 /**
  * @param row A plan's row, if known.
@@ -15,10 +15,10 @@
  */
 export function readPlan(row: Row | undefined): Plan | undefined {
   if (row === undefined || row.version === 0) return undefined;
-  const known = parsed.get(row);
-  if (known) return known;
+  const cachedPlan = planCache.get(row);
+  if (cachedPlan) return cachedPlan;
   const plan = parsePlan(row.value);
-  if (plan) parsed.set(row, plan);
+  if (plan) planCache.set(row, plan);
   return plan;
 }
 
--- a/src/steering/planner.ts
+++ b/src/steering/planner.ts
@@ -24,16 +24,16 @@
   isHolder,
   type Lease,
   LEASE_KEY,
-  noteLeaseRow,
+  recordLease,
 } from "./lease.ts";
 import { readPlan } from "./plan_rows.ts";
 import { getPlanKey, type Plan } from "./types.ts";
 
 const log = createLogger("steering");
 
-const TICK_MS = 500;
+const TICK_PERIOD_MS = 500;
 /** Time in which a new steer learns who is alive before it judges anybody. */
-const LEARN_MS = 4_000;
+const MEMBER_DISCOVERY_MS = 4_000;
 /** Time between two snapshots of the rows. */
 const SNAPSHOT_PERIOD_MS = 10_000;
 
@@ -60,34 +60,36 @@
 export function startPlanner(options: PlannerOptions): Planner {
   const { agent, platform, clock, metrics } = options;
   const startedMs = clock.monotonicMs();
-  const writes = new PQueue({ concurrency: 1 });
+  const writeQueue = new PQueue({ concurrency: 1 });
   const { id, incarnation } = agent.self;
   const lease = createLeaseState(id, incarnation, startedMs);
-  let snapshotMs = startedMs;
+  let lastSnapshotMs = startedMs;
   let plansWritten = 0;
 
   agent.onRows((rows) => {
     for (const row of rows) {
-      if (row.key === LEASE_KEY) noteLeaseRow(lease, row, clock.monotonicMs());
+      if (row.key === LEASE_KEY) recordLease(lease, row, clock.monotonicMs());
     }
   });
 
   function tick(): void {
-    if (writes.size + writes.pending > 0) return;
-    if (clock.monotonicMs() - startedMs < LEARN_MS || agent.replaced()) return;
-    void writes.add(act);
+    if (writeQueue.size + writeQueue.pending > 0) return;
+    if (
+      clock.monotonicMs() - startedMs < MEMBER_DISCOVERY_MS || agent.replaced()
+    ) return;
+    void writeQueue.add(renewLeaseAndPlan);
   }
 
-  async function act(): Promise<void> {
+  async function renewLeaseAndPlan(): Promise<void> {
     const nowMs = clock.monotonicMs();
-    const decision = decideLease(lease, getRank(), nowMs);
+    const decision = decideLease(lease, getCandidateRank(), nowMs);
     if (decision.action === "wait") return;
     const plans = isHolder(lease) ? makePlans(decision.lease.epoch) : [];
-    await write(decision.lease, decision.ifVersion, plans);
-    if (isHolder(lease)) await keepSnapshot();
+    await commitLeaseAndPlans(decision.lease, decision.ifVersion, plans);
+    if (isHolder(lease)) await storeSnapshot();
   }
 
-  function getRank(): number {
+  function getCandidateRank(): number {
     const steers = agent.serving("steer").map((member) => ({
       id: member.id,
       weight: 1,
@@ -104,7 +106,7 @@
       agent.serving("entry").map((member) => member.failureDomain),
     );
     return [...config.services.values()].flatMap(({ document }) => {
-      const known = estimate({
+      const currentEstimate = estimate({
         document,
         fleet,
         regionOf: config.regionOf,
@@ -117,13 +119,13 @@
       });
       const plan = decidePlan({
         document,
-        defaults: makeDefaultWeights(document, {
+        defaultWeights: makeDefaultWeights(document, {
           fleet,
           regionOf: config.regionOf,
           wallMs: clock.now().getTime(),
         }),
         current: readPlan(agent.row(getPlanKey(document.service))),
-        estimate: known,
+        estimate: currentEstimate,
         regionOf: config.regionOf,
         blockCount: countBlocks(fleet.clientBlocks),
         epoch,
@@ -133,7 +135,7 @@
     });
   }
 
-  async function write(
+  async function commitLeaseAndPlans(
     next: Lease,
     ifVersion: number,
     plans: Plan[],
@@ -164,34 +166,34 @@
       return;
     }
     const { version } = commit.value;
-    noteWritten([leasePut, ...planPuts], { writeId, version });
+    applyCommittedRows([leasePut, ...planPuts], { writeId, version });
     plansWritten += plans.length;
     for (const plan of plans) {
       metrics.gauge("plan.number", plan.number, { service: plan.service });
     }
   }
 
-  function noteWritten(
+  function applyCommittedRows(
     puts: RowPut[],
-    written: { writeId: string; version: number },
+    committed: { writeId: string; version: number },
   ): void {
     const throughVersion = agent.throughVersion();
     agent.applyOwnWrite({
       afterVersion: throughVersion,
       throughVersion,
-      rows: puts.map((put) => ({ ...put, ...written })),
+      rows: puts.map((put) => ({ ...put, ...committed })),
     });
   }
 
-  async function keepSnapshot(): Promise<void> {
-    if (clock.monotonicMs() - snapshotMs < SNAPSHOT_PERIOD_MS) return;
-    snapshotMs = clock.monotonicMs();
+  async function storeSnapshot(): Promise<void> {
+    if (clock.monotonicMs() - lastSnapshotMs < SNAPSHOT_PERIOD_MS) return;
+    lastSnapshotMs = clock.monotonicMs();
     const text = JSON.stringify(agent.allRows());
     const put = await platform.objects.put(SNAPSHOT_NAME, text);
     if (put.isErr()) log.info(describeError(put.error), { step: "snapshot" });
   }
 
-  const timer = clock.every(TICK_MS, tick);
+  const timer = clock.every(TICK_PERIOD_MS, tick);
   return {
     dump: () => ({
       holding: isHolder(lease),
@@ -200,7 +202,7 @@
     }),
     close() {
       timer.cancel();
-      writes.clear();
+      writeQueue.clear();
     },
   };
 }
--- a/src/steering/shift.ts
+++ b/src/steering/shift.ts
@@ -8,22 +8,22 @@
 import type { PlanStep, RegionOf, WeightRow, Weights } from "./types.ts";
 
 /** Part of the cap that plans spend; written by the lease's holder only. */
-export const SHARED_PART = 0.85;
+export const SHARED_CAP_FRACTION = 0.85;
 /**
  * Part of the cap that each process may spend by itself. It counts the share
  * of the process's own traffic, so that all processes' parts together are this
  * part of the whole traffic, with no messages. What is left of the cap covers
  * the granularity of client blocks.
  */
-export const LOCAL_PART = 0.1;
+export const LOCAL_CAP_FRACTION = 0.1;
 /** Time from the writing of a plan until it takes effect everywhere, in ms. */
-export const LEAD_MS = 1_500;
+export const PLAN_LEAD_TIME_MS = 1_500;
 /** A process that is later than this walks by its local part, in ms. */
-export const LATENESS_MS = 1_000;
+export const MAX_STEP_DELAY_MS = 1_000;
 /** How far two clocks may be apart, in ms. */
-export const MAX_SKEW_MS = 250;
+export const MAX_CLOCK_SKEW_MS = 250;
 /** Longest time between the first and the last process to take a step. */
-export const SPREAD_MS = LATENESS_MS + 2 * MAX_SKEW_MS;
+export const MAX_STEP_SPREAD_MS = MAX_STEP_DELAY_MS + 2 * MAX_CLOCK_SKEW_MS;
 
 /** A service's cap. */
 export interface ShiftCap {
@@ -109,9 +109,9 @@
 }
 
 /** Deviations of the moved share from its mean that stay under the cap. */
-const DEVIATIONS = 2;
+const DEVIATION_MARGIN = 2;
 /** Part of the cap that plans spend however few blocks there are. */
-const LEAST_PART = 0.25;
+const MIN_SHARED_CAP_FRACTION = 0.25;
 
 /**
  * The share that a window of plans may move. Which blocks move is decided by
@@ -122,12 +122,13 @@
  * @param blockCount Client blocks of the fleet.
  * @returns The share that plans spend in a window.
  */
-export function getSharedShare(maxShare: number, blockCount: number): number {
+export function getSharedCap(maxShare: number, blockCount: number): number {
   const deviation = Math.sqrt(maxShare / blockCount);
-  const kept = maxShare * (1 - LOCAL_PART) - DEVIATIONS * deviation;
+  const withinMargin = maxShare * (1 - LOCAL_CAP_FRACTION) -
+    DEVIATION_MARGIN * deviation;
   return Math.max(
-    maxShare * LEAST_PART,
-    Math.min(maxShare * SHARED_PART, kept),
+    maxShare * MIN_SHARED_CAP_FRACTION,
+    Math.min(maxShare * SHARED_CAP_FRACTION, withinMargin),
   );
 }
 
@@ -137,14 +138,14 @@
  * @param nowMs Time on the clock of the steps, in ms.
  * @returns Share that a plan may still move now.
  */
-export function getSharedBudget(
-  cap: ShiftCap & { sharedShare: number },
+export function getRemainingBudget(
+  cap: ShiftCap & { sharedCap: number },
   trail: readonly PlanStep[],
   nowMs: number,
 ): number {
-  const spent = keepRecent(trail, cap, nowMs)
+  const spent = listCountedSteps(trail, cap, nowMs)
     .reduce((sum, step) => sum + step.share, 0);
-  return Math.max(0, cap.sharedShare - spent);
+  return Math.max(0, cap.sharedCap - spent);
 }
 
 /**
@@ -153,12 +154,14 @@
  * @param nowMs Time on the clock of the steps, in ms.
  * @returns The steps that still count against the cap.
  */
-export function keepRecent<T extends { atMs: number }>(
+export function listCountedSteps<T extends { atMs: number }>(
   trail: readonly T[],
   cap: ShiftCap,
   nowMs: number,
 ): T[] {
-  return trail.filter((step) => nowMs - step.atMs < cap.windowMs + SPREAD_MS);
+  return trail.filter((step) =>
+    nowMs - step.atMs < cap.windowMs + MAX_STEP_SPREAD_MS
+  );
 }
 
 /**
@@ -173,7 +176,7 @@
 export function interpolateRow(
   from: WeightRow,
   to: WeightRow,
-  { part, regionOf }: { part: number; regionOf: RegionOf },
+  { part: fraction, regionOf }: { part: number; regionOf: RegionOf },
 ): WeightRow {
   const before = sumByRegion(from, regionOf);
   const after = sumByRegion(to, regionOf);
@@ -182,10 +185,10 @@
     const region = regionOf.get(domain) ?? domain;
     const source = (after[region] ?? 0) > 0 ? to : from;
     const sourceSum = (source === to ? after : before)[region] ?? 0;
-    const inRegion = sourceSum > 0 ? (source[domain] ?? 0) / sourceSum : 0;
-    const goal = (before[region] ?? 0) +
-      part * ((after[region] ?? 0) - (before[region] ?? 0));
-    if (goal * inRegion > 0) row[domain] = goal * inRegion;
+    const shareInRegion = sourceSum > 0 ? (source[domain] ?? 0) / sourceSum : 0;
+    const targetSum = (before[region] ?? 0) +
+      fraction * ((after[region] ?? 0) - (before[region] ?? 0));
+    if (targetSum * shareInRegion > 0) row[domain] = targetSum * shareInRegion;
   }
   return row;
 }
@@ -210,21 +213,24 @@
   { budget, demandShare, isUrgent }: StepOptions,
 ): Weights {
   const regions = Object.keys(to);
-  const urgent = regions.filter(isUrgent);
-  const calm = regions.filter((region) => !isUrgent(region));
+  const urgentRegions = regions.filter(isUrgent);
+  const otherRegions = regions.filter((region) => !isUrgent(region));
   const next: Weights = {};
-  let left = budget;
-  for (const group of [urgent, calm]) {
+  let remainingBudget = budget;
+  for (const group of [urgentRegions, otherRegions]) {
     const costs = group.map((region) =>
       measureRowShift(from[region] ?? to[region], to[region], regionOf) *
       (demandShare[region] ?? 0)
     );
     const total = costs.reduce((sum, cost) => sum + cost, 0);
-    const part = total <= left ? 1 : left / total;
-    left = Math.max(0, left - total * part);
+    const fraction = total <= remainingBudget ? 1 : remainingBudget / total;
+    remainingBudget = Math.max(0, remainingBudget - total * fraction);
     for (const region of group) {
       const start = from[region] ?? to[region];
-      next[region] = interpolateRow(start, to[region], { part, regionOf });
+      next[region] = interpolateRow(start, to[region], {
+        part: fraction,
+        regionOf,
+      });
     }
   }
   return next;
--- a/src/steering/shift_cap_test.ts
+++ b/src/steering/shift_cap_test.ts
@@ -7,7 +7,7 @@
   createFollower,
   type FollowerState,
   followPlan,
-  walkTowards,
+  moveWithinLocalCap,
 } from "./follower.ts";
 import { makeLocalTarget } from "./local_target.ts";
 import { type ShiftCap, sumByRegion } from "./shift.ts";
@@ -15,7 +15,7 @@
 
 const SEED = 20261202;
 const STEP_MS = 500;
-const CONTROL_LOST_MS = 6_000;
+const PLANNER_TIMEOUT_MS = 6_000;
 const REGIONS = ["a", "b", "c"];
 const DOMAINS = ["a1", "a2", "b1", "b2", "c1", "c2"];
 const regionOf = new Map(DOMAINS.map((domain) => [domain, domain[0]]));
@@ -33,20 +33,20 @@
   domain: string;
   follower: FollowerState;
   /** Newest plan that it has heard of. */
-  known: Plan | undefined;
-  heardMs: number;
+  knownPlan: Plan | undefined;
+  planReceivedMs: number;
   pausedUntilMs: number;
 }
 
 /** All that happens, for one service. */
-interface World {
+interface Simulation {
   nowMs: number;
   /** Newest plan in the table. */
-  written: Plan | undefined;
+  storedPlan: Plan | undefined;
   processes: Process[];
   lostRegions: Set<string>;
   drainedRegions: Set<string>;
-  cutDomains: Set<string>;
+  disconnectedDomains: Set<string>;
   tableDown: boolean;
   /** Clock error of the lease's holder, in ms. */
   holderSkewMs: number;
@@ -88,128 +88,137 @@
 );
 
 /** Weights before any plan: every region for itself. */
-const HOME: Weights = Object.fromEntries(
+const HOME_WEIGHTS: Weights = Object.fromEntries(
   REGIONS.map((name) => [name, { [`${name}1`]: 0.5, [`${name}2`]: 0.5 }]),
 );
 
-function makeWorld(): World {
+function createSimulation(): Simulation {
   return {
     nowMs: 0,
-    written: undefined,
+    storedPlan: undefined,
     processes: DOMAINS.map((name) => ({
       domain: name,
-      follower: createFollower(HOME),
-      known: undefined,
-      heardMs: 0,
+      follower: createFollower(HOME_WEIGHTS),
+      knownPlan: undefined,
+      planReceivedMs: 0,
       pausedUntilMs: 0,
     })),
     lostRegions: new Set(),
     drainedRegions: new Set(),
-    cutDomains: new Set(),
+    disconnectedDomains: new Set(),
     tableDown: false,
     holderSkewMs: 0,
     history: [],
   };
 }
 
-function apply(world: World, event: Event): void {
+function applyEvent(simulation: Simulation, event: Event): void {
   switch (event.kind) {
     case "lose":
-      return void world.lostRegions.add(event.region);
+      return void simulation.lostRegions.add(event.region);
     case "drain":
-      return void world.drainedRegions.add(event.region);
+      return void simulation.drainedRegions.add(event.region);
     case "heal":
-      world.lostRegions.delete(event.region);
-      world.drainedRegions.delete(event.region);
+      simulation.lostRegions.delete(event.region);
+      simulation.drainedRegions.delete(event.region);
       return;
     case "cut":
-      for (const name of event.domains) world.cutDomains.add(name);
+      for (const name of event.domains) {
+        simulation.disconnectedDomains.add(name);
+      }
       return;
     case "join":
-      for (const name of event.domains) world.cutDomains.delete(name);
+      for (const name of event.domains) {
+        simulation.disconnectedDomains.delete(name);
+      }
       return;
     case "pause":
-      for (const process of world.processes) {
+      for (const process of simulation.processes) {
         if (!event.domains.includes(process.domain)) continue;
-        process.pausedUntilMs = world.nowMs + event.durationMs;
+        process.pausedUntilMs = simulation.nowMs + event.durationMs;
       }
       return;
     case "table":
-      world.tableDown = event.down;
+      simulation.tableDown = event.down;
       return;
     case "holder":
-      world.holderSkewMs = event.skewMs;
+      simulation.holderSkewMs = event.skewMs;
   }
 }
 
-function makeInput(world: World): AssignInput {
-  const out = (name: string) =>
-    world.lostRegions.has(name) || world.drainedRegions.has(name);
+function makeInput(simulation: Simulation): AssignInput {
+  const isUnavailable = (name: string) =>
+    simulation.lostRegions.has(name) || simulation.drainedRegions.has(name);
   return {
     demand: REGIONS.map((name) => ({
       region: name,
       slots: 100 * DEMAND_SHARE[name as keyof typeof DEMAND_SHARE],
     })),
-    places: DOMAINS.map((failureDomain) => ({
+    domainCapacities: DOMAINS.map((failureDomain) => ({
       failureDomain,
       region: failureDomain[0],
-      slots: out(failureDomain[0]) ? 0 : 60,
+      slots: isUnavailable(failureDomain[0]) ? 0 : 60,
     })),
     delayMs: (from, to) => from === to ? 1 : 30,
     linkSlots: () => Infinity,
   };
 }
 
-function step(world: World): void {
-  world.nowMs += STEP_MS;
-  const wallMs = START_WALL_MS + world.nowMs;
-  if (!world.tableDown) {
+function step(simulation: Simulation): void {
+  simulation.nowMs += STEP_MS;
+  const wallMs = START_WALL_MS + simulation.nowMs;
+  if (!simulation.tableDown) {
     const plan = decidePlan({
       document,
-      current: world.written,
-      defaults: HOME,
-      estimate: { input: makeInput(world), demandShare: DEMAND_SHARE },
+      current: simulation.storedPlan,
+      defaultWeights: HOME_WEIGHTS,
+      estimate: { input: makeInput(simulation), demandShare: DEMAND_SHARE },
       regionOf,
       blockCount: 330_000,
       epoch: 1,
-      wallMs: wallMs + world.holderSkewMs,
+      wallMs: wallMs + simulation.holderSkewMs,
     });
-    if (plan) world.written = plan;
+    if (plan) simulation.storedPlan = plan;
   }
-  for (const process of world.processes) follow(world, process);
-  world.history.push(flatten(world));
+  for (const process of simulation.processes) {
+    updateProcess(simulation, process);
+  }
+  simulation.history.push(listTrafficShares(simulation));
 }
 
-function follow(world: World, process: Process): void {
-  if (world.nowMs < process.pausedUntilMs) return;
-  const hears = !world.tableDown && !world.cutDomains.has(process.domain);
-  if (hears) {
-    process.known = world.written;
-    process.heardMs = world.nowMs;
+function updateProcess(simulation: Simulation, process: Process): void {
+  if (simulation.nowMs < process.pausedUntilMs) return;
+  const isConnected = !simulation.tableDown &&
+    !simulation.disconnectedDomains.has(process.domain);
+  if (isConnected) {
+    process.knownPlan = simulation.storedPlan;
+    process.planReceivedMs = simulation.nowMs;
   }
   const context = {
     cap,
     regionOf,
-    nowMs: world.nowMs,
-    wallMs: START_WALL_MS + world.nowMs,
+    nowMs: simulation.nowMs,
+    wallMs: START_WALL_MS + simulation.nowMs,
   };
-  if (world.nowMs - process.heardMs < CONTROL_LOST_MS) {
-    if (process.known) followPlan(process.follower, process.known, context);
+  if (simulation.nowMs - process.planReceivedMs < PLANNER_TIMEOUT_MS) {
+    if (process.knownPlan) {
+      followPlan(process.follower, process.knownPlan, context);
+    }
     return;
   }
   const target = makeLocalTarget({
-    weights: process.known?.weights ?? process.follower.weights,
+    weights: process.knownPlan?.weights ?? process.follower.weights,
     aliveRegions: new Set(
-      REGIONS.filter((name) => !world.lostRegions.has(name)),
+      REGIONS.filter((name) => !simulation.lostRegions.has(name)),
     ),
     regionOf,
     delayMs: (from, to) => from === to ? 1 : 30,
   });
-  walkTowards(process.follower, target, context);
+  moveWithinLocalCap(process.follower, target, context);
 }
 
 /** Share of each process's and region's traffic by region, flat. */
-function flatten({ processes }: World): number[] {
+function listTrafficShares({ processes }: Simulation): number[] {
   return processes.flatMap(({ follower }) =>
     REGIONS.flatMap((caller) => {
       const sums = sumByRegion(follower.weights[caller], regionOf);
@@ -221,7 +230,7 @@
 }
 
 /** Largest share of the traffic whose region changed within a window. */
-function findLargestShift({ history }: World): number {
+function findLargestShift({ history }: Simulation): number {
   const steps = cap.windowMs / STEP_MS;
   let largest = 0;
   for (let to = 1; to < history.length; to++) {
@@ -241,14 +250,14 @@
   let largest = 0;
   fc.assert(
     fc.property(events, (planned) => {
-      const world = makeWorld();
+      const simulation = createSimulation();
       for (const { waitSteps, event } of planned) {
-        for (let count = 0; count < waitSteps; count++) step(world);
-        apply(world, event);
+        for (let count = 0; count < waitSteps; count++) step(simulation);
+        applyEvent(simulation, event);
       }
-      for (let count = 0; count < 20; count++) step(world);
-      steps += world.history.length;
-      const shift = findLargestShift(world);
+      for (let count = 0; count < 20; count++) step(simulation);
+      steps += simulation.history.length;
+      const shift = findLargestShift(simulation);
       largest = Math.max(largest, shift);
       assert.ok(shift <= cap.maxShare + 1e-9, `shift ${shift}`);
     }),
@@ -259,11 +268,11 @@
 });
 
 test("traffic does move away from a lost region, plan by plan", () => {
-  const world = makeWorld();
-  for (let count = 0; count < 4; count++) step(world);
-  apply(world, { kind: "lose", region: "a" });
-  for (let count = 0; count < 400; count++) step(world);
-  for (const { follower } of world.processes) {
+  const simulation = createSimulation();
+  for (let count = 0; count < 4; count++) step(simulation);
+  applyEvent(simulation, { kind: "lose", region: "a" });
+  for (let count = 0; count < 400; count++) step(simulation);
+  for (const { follower } of simulation.processes) {
     const row = follower.weights.a;
     assert.ok((row.a1 ?? 0) + (row.a2 ?? 0) < 1e-6);
   }
--- a/src/steering/shift_test.ts
+++ b/src/steering/shift_test.ts
@@ -49,16 +49,16 @@
 });
 
 test("a spent budget leaves rows that need no move as they are", () => {
-  const still = { b1: 1 };
-  const to = { a: { b1: 1 }, b: still };
+  const unchangedRow = { b1: 1 };
+  const to = { a: { b1: 1 }, b: unchangedRow };
   for (let tenths = 1; tenths < 300; tenths++) {
-    const from = { a: { a1: 0.46, b1: 0.54 }, b: still };
+    const from = { a: { a1: 0.46, b1: 0.54 }, b: unchangedRow };
     const next = stepTowards({ from, to, regionOf }, {
       budget: tenths / 1_000,
       demandShare: { a: 0.7, b: 0.3 },
       isUrgent: (region) => region === "a",
     });
-    assert.equal(next.b, still, `budget ${tenths / 1_000}`);
+    assert.equal(next.b, unchangedRow, `budget ${tenths / 1_000}`);
   }
 });
 
--- a/src/steering/steering.ts
+++ b/src/steering/steering.ts
@@ -13,21 +13,21 @@
   createFollower,
   type FollowerState,
   followPlan,
-  walkTowards,
+  moveWithinLocalCap,
 } from "./follower.ts";
 import { LEASE_KEY } from "./lease.ts";
 import { makeLocalTarget } from "./local_target.ts";
 import { readPlan } from "./plan_rows.ts";
 import { getPlanKey, type WeightRow } from "./types.ts";
 
-const TICK_MS = 250;
+const TICK_PERIOD_MS = 250;
 /** Age of the lease's last renewal at which nobody is taken to plan. */
-const CONTROL_LOST_MS = 6_000;
+const PLANNER_TIMEOUT_MS = 6_000;
 
 /** The weights in force. */
 export interface Steering {
   /** @returns Weights for callers of a region; empty for an unknown service. */
-  rowFor(service: string, callerRegion: string): WeightRow;
+  getWeightRow(service: string, callerRegion: string): WeightRow;
   /** @returns Number of the plan in force; 0 before any. */
   planNumber(service: string): number;
   dump(): unknown;
@@ -52,11 +52,11 @@
 
   function tick(): void {
     for (const { document } of agent.config().services.values()) {
-      follow(document);
+      updateFollower(document);
     }
   }
 
-  function follow(document: ServiceDocument): void {
+  function updateFollower(document: ServiceDocument): void {
     const { service } = document;
     const follower = followers.get(service) ?? startFollower(document);
     if (follower === undefined) return;
@@ -68,19 +68,19 @@
       wallMs: clock.now().getTime(),
     };
     const plan = readPlan(agent.row(getPlanKey(service)));
-    if (context.nowMs - leaseSeenMs < CONTROL_LOST_MS) {
+    if (context.nowMs - leaseSeenMs < PLANNER_TIMEOUT_MS) {
       if (plan) followPlan(follower, plan, context);
       return;
     }
-    const wanted = plan?.weights ?? follower.weights;
+    const planWeights = plan?.weights ?? follower.weights;
     const target = makeLocalTarget({
-      weights: wanted,
+      weights: planWeights,
       aliveRegions: listAliveRegions(document),
       regionOf: context.regionOf,
       delayMs: (from, to) =>
         getDelayMs(agent.config().fleet!.document, from, to),
     });
-    walkTowards(follower, target, context);
+    moveWithinLocalCap(follower, target, context);
   }
 
   function startFollower(document: ServiceDocument): FollowerState | undefined {
@@ -108,9 +108,9 @@
     tick();
   });
   tick();
-  const timer = clock.every(TICK_MS, tick);
+  const timer = clock.every(TICK_PERIOD_MS, tick);
   return {
-    rowFor: (service, callerRegion) =>
+    getWeightRow: (service, callerRegion) =>
       followers.get(service)?.weights[callerRegion] ?? {},
     planNumber: (service) => followers.get(service)?.number ?? 0,
     dump: () => Object.fromEntries(followers),
--- a/src/steering/types.ts
+++ b/src/steering/types.ts
@@ -50,7 +50,7 @@
 }
 
 /** A failure domain that may run the service. */
-export interface Place {
+export interface DomainCapacity {
   failureDomain: string;
   region: string;
   /** Slots that may be used; 0 where it is drained, dead or out of reach. */
@@ -60,7 +60,7 @@
 /** What an assignment is made from. */
 export interface AssignInput {
   demand: readonly CallerDemand[];
-  places: readonly Place[];
+  domainCapacities: readonly DomainCapacity[];
   /** One-way delay between two regions, in ms. */
   delayMs(from: string, to: string): number;
   /** Slots' worth of requests that a link may carry. */
