--- a/src/measurement/quantise.ts
+++ b/src/measurement/quantise.ts
@@ -1,26 +1,32 @@
 /**
- * Rounds figures, so that those which hardly change need not travel. Pure.
+ * Rounds measurements, so that negligible changes cause no message. Pure
+ * functions.
  *
  * @module
  */
 import type { EntryLoad } from "./types.ts";
 
-/** Significant digits kept. */
+/** Significant digits of a rounded value. */
 const SIGNIFICANT_DIGITS = 2;
-/** Steps of a utilization. */
+/** Steps between utilization 0 and utilization 1. */
 const UTILIZATION_STEPS = 20;
 
 /**
- * @param value Any figure.
- * @returns It, rounded to two significant digits.
+ * Rounds a value to two significant digits.
+ *
+ * @param value The value, in any unit.
+ * @returns The rounded value, in the same unit.
  */
 export function roundToSignificantDigits(value: number): number {
   return value === 0 ? 0 : Number(value.toPrecision(SIGNIFICANT_DIGITS));
 }
 
 /**
- * @param load An entry's figures.
- * @returns The same, rounded.
+ * Rounds all measurements of an entry but its slots.
+ *
+ * @param load The measurements.
+ * @returns A rounded copy: utilization in steps of 0.05, the other values to two
+ * significant digits.
  */
 export function quantiseLoad(load: EntryLoad): EntryLoad {
   return {
--- a/src/measurement/rate.ts
+++ b/src/measurement/rate.ts
@@ -1,21 +1,30 @@
 /**
- * Rates and means that forget.
+ * Event rates and means, both exponentially weighted moving averages.
  *
  * @module
  */
 
-/** Counts events and gives their rate since the last reading. */
+/** Counts events and computes their smoothed rate. */
 export interface RateCounter {
+  /** @param amount Amount to add to the count, for instance of events. */
   add(amount: number): void;
-  /** @returns Amount a second, smoothed over a few readings. */
+  /**
+   * Reads the rate and resets the count.
+   *
+   * @param nowMs Monotonic time, in ms.
+   * @returns The smoothed amount per second. Where no time has passed since the
+   * last reading, that reading's result (0 without one); the count is then kept.
+   */
   read(nowMs: number): number;
 }
 
-/** Weight of the newest reading. */
+/** Weight of the newest reading, 0 to 1. */
 const SMOOTHING_FACTOR = 0.4;
 
 /**
- * @param startMs Monotonic time, in ms.
+ * Creates a rate counter.
+ *
+ * @param startMs Monotonic time from which events are counted, in ms.
  * @returns A counter at 0.
  */
 export function createRateCounter(startMs: number): RateCounter {
@@ -40,16 +49,19 @@
   };
 }
 
-/** A mean that gives newer values more weight. */
+/** An exponentially weighted moving average. */
 export interface MovingMean {
+  /** @param value Value to include, in any unit. */
   add(value: number): void;
-  /** @returns The mean; 0 where nothing was added. */
+  /** @returns The mean, in the unit of the values; 0 before the first one. */
   value(): number;
 }
 
 /**
+ * Creates a moving mean.
+ *
  * @param smoothingFactor Weight of the newest value, 0 to 1.
- * @returns An empty mean.
+ * @returns A mean without values.
  */
 export function createMovingMean(smoothingFactor: number): MovingMean {
   let mean: number | undefined;
--- a/src/measurement/state.ts
+++ b/src/measurement/state.ts
@@ -1,24 +1,24 @@
 /**
- * Latest figures of every entry, with their age.
+ * Latest measurements of every entry, with the time of their receipt.
  *
  * @module
  */
 import type { EntryLoad, ReceivedLoad } from "./types.ts";
 
-/** By entry id. */
+/** Latest measurements by entry id. */
 export type LoadState = Map<string, ReceivedLoad>;
 
-/** Figures that did not change are sent again after this time. */
+/** Period at which unchanged measurements are sent again, in ms. */
 export const LOAD_REFRESH_MS = 2_000;
-/** Figures older than this are dropped altogether. */
+/** Age at which measurements are removed, in ms. */
 export const LOAD_RETENTION_MS = 60_000;
 
 /**
- * Takes in an entry's figures.
+ * Records an entry's measurements; they replace its earlier ones.
  *
  * @param state Changed in place.
- * @param load The figures.
- * @param nowMs Monotonic time, in ms.
+ * @param load The measurements.
+ * @param nowMs Monotonic time of their receipt, in ms.
  */
 export function recordLoad(
   state: LoadState,
@@ -29,7 +29,7 @@
 }
 
 /**
- * Drops figures that are too old to mean anything.
+ * Removes measurements older than {@link LOAD_RETENTION_MS}.
  *
  * @param state Changed in place.
  * @param nowMs Monotonic time, in ms.
--- a/src/measurement/types.ts
+++ b/src/measurement/types.ts
@@ -1,42 +1,47 @@
 /**
- * What entries measure and steers plan with.
+ * Measurements that entries report and steers plan with.
  *
  * @module
  */
 
-/** Requests of one region's callers. */
+/** Request rate of one region's callers. */
 export interface Arrivals {
+  /** The callers' region. */
   region: string;
   requestsPerS: number;
 }
 
-/** One entry's figures of one service, over its last report period. */
+/** One entry's measurements of one service over its last report period. */
 export interface ServiceLoad {
   service: string;
-  /** Slots of this entry's share on backend servers that take new work. */
+  /** The entry's share of the slots of backend servers that accept requests. */
   usableSlots: number;
-  /** Requests at backend servers now. */
+  /** Requests that backend servers are running now. */
   inFlight: number;
-  /** Time that a backend server takes, in ms; 0 where none was seen yet. */
+  /** Mean time a backend server takes for a request, in ms; 0 before the first. */
   serviceMs: number;
-  /** Requests by the callers' regions, refused ones included. */
+  /** Request rates by the callers' regions, refused requests included. */
   arrivals: Arrivals[];
-  /** Mean bytes of a request and its answer. */
+  /** Mean size of a request and its answer together, in bytes. */
   bytesPerRequest: number;
 }
 
-/** One entry's figures. */
+/** One entry's measurements. */
 export interface EntryLoad {
   /** Member id. */
   entryId: string;
   failureDomain: string;
-  /** Share of its slots in use, 0 to 1. */
+  /**
+   * Running and queued requests as a share of the entry's slots; above 1 where
+   * requests queue, 1 where it has no slots.
+   */
   utilization: number;
   services: ServiceLoad[];
 }
 
-/** An entry's figures and when they came. */
+/** An entry's measurements and the time of their receipt. */
 export interface ReceivedLoad {
   load: EntryLoad;
+  /** Monotonic time, in ms. */
   receivedMs: number;
 }
--- a/src/steering/assign.ts
+++ b/src/steering/assign.ts
@@ -1,7 +1,7 @@
 /**
- * Assigns demand to places: nearest first, then spill by added delay, within
- * the capacity of places and links; then exchanges that lower the total delay.
- * Pure.
+ * Assigns demand to failure domains within the capacity of regions and links: a
+ * greedy assignment in order of delay, then exchanges that lower the total delay.
+ * Pure functions.
  *
  * @module
  */
@@ -12,39 +12,47 @@
   Weights,
 } from "./types.ts";
 
-/** Slots below this count as none. */
+/** Amounts of slots up to this count as 0. */
 const EPSILON_SLOTS = 1e-9;
-/** Exchanges that gain less than this, in ms, are not made. */
+/** Smallest gain for which an exchange is made, in ms or ms times slots. */
 const EPSILON_MS = 1e-6;
-/** Rounds of exchanges; each lowers the total delay. */
+/** Limit on rounds of exchanges; each round lowers the total delay. */
 const MAX_EXCHANGE_ROUNDS = 200;
 
-/** Slots of one region's demand that run in another or the same region. */
+/** Slots of one region's demand that are served in another or the same region. */
 interface Flow {
+  /** Index of the callers' region. */
   from: number;
+  /** Index of the serving region. */
   to: number;
   slots: number;
 }
 
-/** The problem by region: small arrays instead of names. */
+/** The assignment problem by region, with array indexes instead of names. */
 interface RegionProblem {
+  /** Regions with callers. */
   callers: string[];
+  /** Regions that may serve. */
   regions: string[];
-  /** Index of each place's region. */
+  /** Index of each failure domain's region. */
   domainRegionIndex: number[];
-  /** By caller's region. */
+  /** Slots by caller's region. */
   demand: number[];
-  /** By region. */
+  /** Slots by region. */
   capacity: number[];
   /** By caller's region, then region. */
   delayMs: number[][];
+  /** By caller's region, then region. */
   linkSlots: number[][];
 }
 
 /**
- * @param input Demand, places, delays and links.
- * @returns Weights whose rows sum to 1. Demand beyond all capacity stays with
- * the nearest place, where admission refuses the excess.
+ * Assigns demand to failure domains.
+ *
+ * @param input Demand, capacities, delays and links.
+ * @returns Weights whose rows sum to 1. Demand that fits nowhere is spread like
+ * the rest of its region's, or goes to the nearest region where none fits;
+ * admission refuses the excess.
  */
 export function assign(input: AssignInput): Weights {
   const problem = makeProblem(input);
@@ -84,7 +92,11 @@
   };
 }
 
-/** @returns Slots by caller's region, then region. */
+/**
+ * Assigns demand greedily, the pairs of regions with the least delay first.
+ *
+ * @returns Slots by caller's region, then region.
+ */
 function assignNearestFirst(problem: RegionProblem): number[][] {
   const { callers, regions, delayMs, linkSlots } = problem;
   const flows = callers.map(() => regions.map(() => 0));
@@ -100,7 +112,10 @@
   return flows;
 }
 
-/** Pairs by delay; among equals, those with the worst second way go first. */
+/**
+ * Lists pairs of regions by increasing delay; among equals, those first whose
+ * caller's region has the greater delay to its second nearest region.
+ */
 function listPairs({ callers, regions, delayMs }: RegionProblem) {
   const secondNearestMs = delayMs.map((row) =>
     [...row].sort((a, b) => a - b)[1] ?? 0
@@ -115,7 +130,10 @@
   );
 }
 
-/** Swaps the regions of two flows, or moves a flow, while that gains. */
+/**
+ * Moves flows to spare capacity and swaps the regions of two flows while that
+ * lowers the total delay.
+ */
 function improveFlows(problem: RegionProblem, flows: number[][]): void {
   for (let round = 0; round < MAX_EXCHANGE_ROUNDS; round++) {
     const moved = moveToSpareCapacity(problem, flows);
@@ -124,6 +142,7 @@
   }
 }
 
+/** Lists the flows that are not empty. */
 function listFlows(flows: number[][]): Flow[] {
   return flows.flatMap((row, from) =>
     row.map((slots, to) => ({ from, to, slots }))
@@ -131,6 +150,11 @@
   );
 }
 
+/**
+ * Moves flows to nearer regions with spare capacity.
+ *
+ * @returns Whether any flow was moved.
+ */
 function moveToSpareCapacity(
   problem: RegionProblem,
   flows: number[][],
@@ -158,6 +182,11 @@
   return moved;
 }
 
+/**
+ * Swaps the regions of the two flows whose swap lowers the total delay most.
+ *
+ * @returns Whether a swap was made.
+ */
 function applyBestSwap(problem: RegionProblem, flows: number[][]): boolean {
   const { delayMs } = problem;
   const activeFlows = listFlows(flows);
@@ -198,10 +227,10 @@
   return linkSlots[from][to] - flows[from][to];
 }
 
-/** Inside a region, failure domains share by their slots. */
+/** Builds a row; inside a region, weights are proportional to the domains' slots. */
 function makeRow(
   input: AssignInput,
-  { domainRegionIndex: placeRegion, capacity }: RegionProblem,
+  { domainRegionIndex, capacity }: RegionProblem,
   flow: number[],
   caller: string,
 ): WeightRow {
@@ -209,7 +238,7 @@
   if (total <= EPSILON_SLOTS) return makeNearestRow(input, caller);
   const row: WeightRow = {};
   input.domainCapacities.forEach((place, number) => {
-    const index = placeRegion[number];
+    const index = domainRegionIndex[number];
     if (flow[index] <= EPSILON_SLOTS || place.slots <= 0) return;
     const share = place.slots / capacity[index];
     row[place.failureDomain] = flow[index] / total * share;
@@ -217,7 +246,10 @@
   return row;
 }
 
-/** Without demand or capacity, callers belong to the nearest usable region. */
+/**
+ * Builds the row of callers without any flow: all traffic goes to the nearest
+ * region with capacity, or to the nearest one where none has any.
+ */
 function makeNearestRow(input: AssignInput, from: string): WeightRow {
   const usable = input.domainCapacities.filter((place) =>
     place.slots > EPSILON_SLOTS
@@ -236,20 +268,23 @@
   );
 }
 
-/** What a plan would do to places. */
+/** Delay and utilization that weights would cause. */
 export interface WeightAssessment {
   /** Mean one-way delay of the demand, in ms. */
   meanDelayMs: number;
-  /** Largest share of a place's slots that is used; Infinity for a place with none. */
+  /**
+   * Highest utilization of a failure domain, as a share of its slots; Infinity
+   * where one without slots gets traffic.
+   */
   maxUtilization: number;
 }
 
 /**
- * Judges weights under given inputs.
+ * Computes the delay and utilization that weights would cause.
  *
- * @param input Demand, places and delays.
- * @param weights The weights to judge.
- * @returns Their effect.
+ * @param input Demand, capacities and delays.
+ * @param weights The weights to assess.
+ * @returns The assessment.
  */
 export function assessWeights(
   input: AssignInput,
--- a/src/steering/decide.ts
+++ b/src/steering/decide.ts
@@ -1,5 +1,6 @@
 /**
- * Decides a service's next plan. A plan that is good enough is kept. Pure.
+ * Decides on a service's next plan. A plan close to the best one is kept, since
+ * each change uses up part of the shift cap. Pure functions.
  *
  * @module
  */
@@ -17,36 +18,39 @@
 } from "./shift.ts";
 import type { AssignInput, Plan, RegionOf, Weights } from "./types.ts";
 
-/** Added delay that is not worth a move, in ms and as a share. */
+/** Added delay that is tolerated rather than move traffic, in ms. */
 const TOLERATED_DELAY_MS = 0.5;
+/** The same, as a share of the delay of the best weights. */
 const TOLERATED_DELAY_SHARE = 0.05;
-/** Excess use that is not worth a move. */
+/** Excess utilization that is tolerated rather than move traffic, as a share. */
 const TOLERATED_EXCESS_UTILIZATION = 0.02;
-/** A step smaller than this part of the shared budget waits for more. */
+/** While less than this fraction of the shared cap is left, partial steps wait. */
 const MIN_STEP_FRACTION = 0.25;
-/** Differences below this are none. */
+/** Shares and weights that differ by less than this count as equal. */
 const EPSILON = 1e-6;
 
-/** What a decision is made from. */
+/** Input of a decision. */
 export interface DecideInput {
   document: ServiceDocument;
   /** The plan in force, if any. */
   current: Plan | undefined;
-  /** Weights that processes act on before any plan. */
+  /** Weights that processes use before any plan. */
   defaultWeights: Weights;
   estimate: Estimate;
   regionOf: RegionOf;
-  /** Client blocks of the fleet. */
+  /** Number of client blocks in the fleet. */
   blockCount: number;
-  /** Epoch of the lease held. */
+  /** Epoch of the lease that this steer holds. */
   epoch: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
 /**
- * @param document A service's document.
- * @returns Its cap.
+ * Reads the shift cap of a service.
+ *
+ * @param document The service's document.
+ * @returns The cap, with its window in ms.
  */
 export function getShiftCap(document: ServiceDocument): ShiftCap {
   const { maxShare, windowS } = document.shiftCap;
@@ -54,8 +58,11 @@
 }
 
 /**
- * @param input See there.
- * @returns The plan to write, or undefined where the one in force is kept.
+ * Decides on a service's next plan. The first plan is made of the default weights.
+ *
+ * @param input The plan in force, the estimated load and the time.
+ * @returns The plan to write, or undefined where the current one is kept: it has
+ * not taken effect yet, it is acceptable, or the budget allows no useful step.
  */
 export function decidePlan(input: DecideInput): Plan | undefined {
   const { current, estimate, document } = input;
@@ -106,6 +113,7 @@
   };
 }
 
+/** Whether the current weights are within tolerance of the target's effect. */
 function isAcceptable(
   input: AssignInput,
   current: Weights,
@@ -125,6 +133,7 @@
     currentAssessment.meanDelayMs <= allowedDelayMs;
 }
 
+/** Whether a region's callers are sent to a failure domain without slots. */
 function usesUnavailableDomain(
   input: AssignInput,
   current: Plan,
--- a/src/steering/defaults.ts
+++ b/src/steering/defaults.ts
@@ -1,6 +1,7 @@
 /**
- * Weights from the documents alone: what every process acts on before any plan,
- * and so what the first plan must be, or it would move traffic uncounted. Pure.
+ * Default weights, computed from the documents alone. Every process uses them
+ * until the first plan, so the first plan must equal them: otherwise it would move
+ * traffic without counting it against the shift cap. Pure functions.
  *
  * @module
  */
@@ -9,18 +10,20 @@
 import { estimate } from "./estimate.ts";
 import type { RegionOf, Weights } from "./types.ts";
 
-/** What the weights depend on besides the service's document. */
+/** What default weights depend on besides the service's document. */
 export interface DefaultWeightsContext {
   fleet: FleetDocument;
   regionOf: RegionOf;
-  /** Wall-clock time, in ms since the epoch; decides which drains are on. */
+  /** Wall-clock time, in ms since the Unix epoch; selects the drains in force. */
   wallMs: number;
 }
 
 /**
+ * Computes a service's default weights.
+ *
  * @param document The service's document.
- * @param context See there.
- * @returns Weights by declared demand and capacity.
+ * @param context The fleet and the time.
+ * @returns Weights from the declared demand and capacity.
  */
 export function makeDefaultWeights(
   document: ServiceDocument,
--- a/src/steering/estimate.ts
+++ b/src/steering/estimate.ts
@@ -1,7 +1,7 @@
 /**
- * Turns measurements of any age into what a plan is made from. Old or missing
- * numbers widen the reserve and fall back on what the documents declare; they
- * never read as no load and never stop a decision. Pure.
+ * Estimates demand and capacity from measurements of any age. Old or missing
+ * measurements increase the reserve and fall back on the declared values; they are
+ * never taken for zero load and never block a decision. Pure functions.
  *
  * @module
  */
@@ -20,49 +20,56 @@
   RegionOf,
 } from "./types.ts";
 
-/** Figures younger than this count in full. */
+/** Age up to which measurements need no extra reserve, in ms. */
 const FRESH_LOAD_AGE_MS = 2 * LOAD_REFRESH_MS;
-/** Reserve added for each second of age beyond that. */
+/** Reserve added per second of further age, as a share of the slots. */
 const RESERVE_SHARE_PER_S = 0.02;
+/** Limit on the reserve added for age, as a share of the slots. */
 const MAX_AGE_RESERVE_SHARE = 0.3;
-/** Part of a link that plans may fill. */
+/** Share of a link's limit that plans may use. */
 const MAX_LINK_FILL_SHARE = 0.85;
-/** Demand of a region that nothing is known of, in requests a second. */
+/** Demand of a region without declared or measured demand, in requests a second. */
 const FALLBACK_REQUESTS_PER_S = 1;
+/** Size of a request and its answer until it is measured, in bytes. */
 const DEFAULT_BYTES_PER_REQUEST = 2_000;
 
-/** What is known at the time of a decision. */
+/** What a steer knows at the time of a decision. */
 export interface EstimateInput {
   document: ServiceDocument;
   fleet: FleetDocument;
   regionOf: RegionOf;
   loads: LoadState;
-  /** Failure domains with an entry that looks alive. */
+  /** Failure domains with an entry that this steer considers alive. */
   aliveDomains: ReadonlySet<string>;
-  /** Backend servers that the platform says are leaving. */
+  /** Ids of backend servers that the platform reports as leaving. */
   leavingServers: ReadonlySet<string>;
-  /** Services that share the links. */
+  /** Number of services that share the links. */
   serviceCount: number;
   /** Monotonic time, in ms. */
   nowMs: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
-/** What a plan is made from, and each region's share of the demand. */
+/** Estimated demand and capacity of a service. */
 export interface Estimate {
   input: AssignInput;
+  /** Share of the service's demand that comes from each region. */
   demandShare: Record<RegionName, number>;
 }
 
+/** One entry's measurements of the service. */
 interface LoadReport {
+  /** The entry's failure domain. */
   domain: string;
   load: ServiceLoad;
   ageMs: number;
 }
 
 /**
- * @param input What is known.
+ * Estimates a service's demand and capacity.
+ *
+ * @param input What the steer knows.
  * @returns The estimate.
  */
 export function estimate(input: EstimateInput): Estimate {
@@ -93,6 +100,8 @@
 }
 
 /**
+ * Looks up the delay between two regions.
+ *
  * @param fleet The fleet's document.
  * @param from A region.
  * @param to Another or the same region.
@@ -108,10 +117,13 @@
 }
 
 /**
+ * Finds the link between two regions.
+ *
  * @param fleet The fleet's document.
- * @param from Sending region.
- * @param to Running region.
- * @returns The link between them, if declared in either direction.
+ * @param from The callers' region.
+ * @param to The serving region.
+ * @returns The link declared in this direction, else in the other; undefined where
+ * there is none.
  */
 export function findLink(fleet: FleetDocument, from: string, to: string) {
   return fleet.links.find((link) => link.from === from && link.to === to) ??
@@ -130,6 +142,7 @@
   );
 }
 
+/** Mean of the measured service times, weighted by the requests in flight. */
 function estimateServiceMs(
   { document }: EstimateInput,
   reports: readonly LoadReport[],
@@ -169,7 +182,8 @@
     reports.filter(({ ageMs }) => ageMs <= FRESH_LOAD_AGE_MS)
       .map(({ domain }) => domain),
   );
-  // What a silent domain's entries carry is not known, so it is not nothing.
+  // A live domain without fresh measurements may carry any load, so the sum of
+  // the others alone is too low.
   const isComplete = [...aliveDomains].every((domain) =>
     freshDomains.has(domain)
   );
@@ -231,9 +245,11 @@
 }
 
 /**
- * @param headroomShare Reserve that the document asks for.
- * @param ageMs Age of the oldest figure used, in ms.
- * @returns Share of the slots that plans leave free.
+ * Computes the share of the slots that plans leave free.
+ *
+ * @param headroomShare Reserve that the document requires, as a share.
+ * @param ageMs Age of the oldest measurement used, in ms; Infinity without any.
+ * @returns The reserve, as a share of the slots, at most 0.9.
  */
 export function getReserveShare(headroomShare: number, ageMs: number): number {
   const excessAgeS = Math.max(0, ageMs - FRESH_LOAD_AGE_MS) / 1_000;
--- a/src/steering/follower.ts
+++ b/src/steering/follower.ts
@@ -1,7 +1,7 @@
 /**
- * The weights that a process acts on. It follows plans step by step; where it
- * missed steps, or no plan can reach it, it moves by its own part of the cap.
- * Pure.
+ * The weights that a process uses. A process follows plans step by step; where it
+ * missed steps or receives no plans, it moves within its local part of the shift
+ * cap. Pure functions, which change only the state passed in.
  *
  * @module
  */
@@ -16,48 +16,54 @@
 } from "./shift.ts";
 import type { Plan, RegionOf, Weights } from "./types.ts";
 
-/** A move made by a process's own part of the cap. */
+/** A move made within the local cap. */
 interface LocalMove {
   /** Monotonic time, in ms. */
   atMs: number;
-  /** Largest share of a region's traffic moved. */
+  /** Largest share of one region's traffic that changed region. */
   share: number;
 }
 
-/** What a process acts on for one service. */
+/** The weights that a process uses for one service, and their origin. */
 export interface FollowerState {
+  /** Weights in force. */
   weights: Weights;
-  /** Number of the plan last followed in full; 0 before any. */
+  /** Number of the plan last reached in full; 0 before any. */
   number: number;
   /** Whether `weights` are those of plan `number`. */
   inStep: boolean;
+  /** Moves that count against the local cap. */
   moves: LocalMove[];
 }
 
-/** Time and cap at a step. */
+/** Cap, regions and time at a step. */
 export interface FollowContext {
   cap: ShiftCap;
   regionOf: RegionOf;
   /** Monotonic time, in ms. */
   nowMs: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
 /**
- * @param weights Weights to act on before any plan is known.
- * @returns The state at start.
+ * Creates a follower.
+ *
+ * @param weights Weights to use until a plan is known.
+ * @returns The initial state.
  */
 export function createFollower(weights: Weights): FollowerState {
   return { weights, number: 0, inStep: true, moves: [] };
 }
 
 /**
- * Follows a plan.
+ * Follows a plan. The first plan is adopted at once, and one that the process can
+ * take in step with the others when it takes effect; towards any other plan the
+ * process moves within its local cap.
  *
  * @param state Changed in place.
  * @param plan The newest plan known.
- * @param context Time and cap.
+ * @param context Cap, regions and time.
  */
 export function followPlan(
   state: FollowerState,
@@ -85,7 +91,10 @@
   state.inStep = true;
 }
 
-/** All steps since the one in force are in the trail, and none is late. */
+/**
+ * Whether all steps since the plan in force are in the trail, and none that moves
+ * traffic is too late.
+ */
 function hasAllStepsOnTime(
   state: FollowerState,
   plan: Plan,
@@ -101,11 +110,11 @@
 }
 
 /**
- * Moves by the process's own part of the cap.
+ * Moves weights towards a target within the local cap.
  *
  * @param state Changed in place; no longer in step with a plan.
- * @param target Weights wanted.
- * @param context Time and cap.
+ * @param target The target weights.
+ * @param context Cap, regions and time.
  */
 export function moveWithinLocalCap(
   state: FollowerState,
--- a/src/steering/lease.ts
+++ b/src/steering/lease.ts
@@ -1,11 +1,13 @@
 /**
- * The lease under which plans are written. Pure: it decides, the planner acts.
+ * The lease under which plans are written. Pure functions, which change only the
+ * state passed in; the planner executes their decisions.
  *
- * A holder's lease lapses by the candidates' own clocks: they wait until the
- * row has not changed for its whole term, so clocks need not agree. Safety does
- * not rest on time at all: each write of a plan names the version of the lease
- * row in its transaction, so a holder that wakes late writes nothing (see
- * "fencing" in Burrows, "The Chubby lock service", OSDI 2006).
+ * Each candidate measures the expiry of a lease by its own monotonic clock: it
+ * waits until the row has been unchanged for the whole term, so clocks need not
+ * agree. Safety does not depend on time: each transaction that writes a plan has
+ * the version of the lease row as a condition, so a former holder that resumes
+ * late writes nothing (compare the sequencers in Burrows, "The Chubby lock
+ * service", OSDI 2006).
  *
  * @module
  */
@@ -14,27 +16,29 @@
 
 /** Key of the lease's row. */
 export const LEASE_KEY = "lease/planner";
-/** Time without renewal after which others may take the lease. */
+/** Time without renewal after which others may take the lease, in ms. */
 export const LEASE_TERM_MS = 3_000;
-/** Time between two renewals. */
+/** Time between two renewals, in ms. */
 export const RENEW_PERIOD_MS = 1_000;
-/** Further wait of each candidate behind the first. */
+/** Additional wait per rank, so that candidates do not collide, in ms. */
 const CANDIDATE_STAGGER_MS = 1_500;
 
 const leaseSchema = z.object({
   holder: z.string(),
-  /** Incarnation of the holder. */
+  /** Incarnation of the holder's process. */
   incarnation: z.number(),
-  /** Rises with each change of holder. */
+  /** Increases by 1 with each change of holder. */
   epoch: z.number(),
 });
 
-/** Content of the lease's row. */
+/** Value of the lease's row. */
 export type Lease = z.infer<typeof leaseSchema>;
 
 /**
- * @param row The lease's row, if known.
- * @returns What it holds, or undefined where it is absent or malformed.
+ * Parses the lease's row.
+ *
+ * @param row The row, if known.
+ * @returns The lease, or undefined where the row is absent or malformed.
  */
 export function readLease(row: Row | undefined): Lease | undefined {
   if (row === undefined || row.version === 0) return undefined;
@@ -45,28 +49,32 @@
   }
 }
 
-/** What a candidate knows of the lease. */
+/** A candidate's local view of the lease. */
 export interface LeaseState {
+  /** Member id of the candidate. */
   selfId: string;
+  /** Incarnation of the candidate's process. */
   incarnation: number;
-  /** Newest row seen. */
+  /** Version of the newest row seen; 0 before any. */
   rowVersion: number;
   lease: Lease | undefined;
-  /** When `rowVersion` was first seen, in monotonic ms. */
+  /** Monotonic time at which `rowVersion` was first seen, in ms. */
   changedMs: number;
 }
 
-/** What to do now. */
+/** What a candidate should do about the lease. */
 export type LeaseAction =
   | { action: "wait" }
-  /** Write this lease if the row still has the version. */
+  /** Write the lease if the row still has version `ifVersion`. */
   | { action: "write"; lease: Lease; ifVersion: number };
 
 /**
+ * Creates the view of a candidate that has seen no row.
+ *
  * @param selfId The candidate's member id.
- * @param incarnation Its incarnation.
+ * @param incarnation The incarnation of its process.
  * @param nowMs Monotonic time, in ms.
- * @returns Knowledge of a candidate that has seen nothing.
+ * @returns The initial state.
  */
 export function createLeaseState(
   selfId: string,
@@ -83,7 +91,7 @@
 }
 
 /**
- * Takes in the lease's row.
+ * Records the lease's row; one that is not newer is ignored.
  *
  * @param state Changed in place.
  * @param row The row as read or written.
@@ -101,9 +109,11 @@
 }
 
 /**
- * @param state What the candidate knows.
- * @returns Whether the newest row names it. Only a write decides whether it
- * still holds.
+ * Tells whether a candidate holds the lease by the newest row it has seen. Only a
+ * conditional write can confirm that it still does.
+ *
+ * @param state The candidate's view.
+ * @returns Whether the row names the candidate's process.
  */
 export function isHolder(state: LeaseState): boolean {
   return state.lease?.holder === state.selfId &&
@@ -111,10 +121,10 @@
 }
 
 /**
- * Decides what to do about the lease.
+ * Decides whether to renew or take the lease.
  *
- * @param state What the candidate knows.
- * @param rank Its place among the candidates, from 0.
+ * @param state The candidate's view.
+ * @param rank The candidate's rank among all candidates, from 0.
  * @param nowMs Monotonic time, in ms.
  * @returns The action.
  */
--- a/src/steering/local_target.ts
+++ b/src/steering/local_target.ts
@@ -1,25 +1,28 @@
 /**
- * Weights wanted by a process while nobody plans: lost regions give their share
- * to the nearest regions that are left. Pure.
+ * The weights that a process moves towards while no plans are made: the share of
+ * lost regions goes to the live region nearest to the callers. Pure functions.
  *
  * @module
  */
 import { sumByRegion } from "./shift.ts";
 import type { RegionOf, WeightRow, Weights } from "./types.ts";
 
-/** What a local target is made from. */
+/** Input of a local target. */
 export interface LocalTargetInput {
-  /** Weights of the newest plan known. */
+  /** Weights of the newest plan known, else those in force. */
   weights: Weights;
-  /** Regions with an entry that looks alive from here. */
+  /** Regions with an entry that this process considers alive. */
   aliveRegions: ReadonlySet<string>;
   regionOf: RegionOf;
+  /** @returns One-way delay between two regions, in ms. */
   delayMs(from: string, to: string): number;
 }
 
 /**
- * @param input See there.
- * @returns The weights wanted.
+ * Computes the local target.
+ *
+ * @param input The planned weights and the local view of live regions.
+ * @returns The target weights; a row stays as it is where no region is alive.
  */
 export function makeLocalTarget(input: LocalTargetInput): Weights {
   return Object.fromEntries(
--- a/src/steering/place.ts
+++ b/src/steering/place.ts
@@ -1,6 +1,6 @@
 /**
- * Picks the place of a request from the weights in force. Pure, and the same in
- * every process that acts on the same weights.
+ * Selects the region and failure domain of a request from the weights in force.
+ * Pure functions: processes with the same weights make the same choice.
  *
  * @module
  */
@@ -8,20 +8,22 @@
 import { sumByRegion } from "./shift.ts";
 import type { RegionOf, WeightRow } from "./types.ts";
 
-/** What a place is picked for. */
+/** A request to be placed, with the weights in force. */
 export interface PlacementRequest {
   service: string;
   /** The client's block. */
   block: string;
+  /** Weights for the callers' region. */
   row: WeightRow;
   regionOf: RegionOf;
 }
 
 /**
- * The region depends on the block and the regions' weights alone, so that only
- * a change of weights moves it.
+ * Picks the region of a request. It depends only on the service, the client's
+ * block and the weights of the regions, so traffic changes region only when
+ * these weights change.
  *
- * @param request What to place.
+ * @param request The request to place.
  * @returns The region, or undefined where the row is empty.
  */
 export function pickRegion(request: PlacementRequest): string | undefined {
@@ -32,9 +34,12 @@
 }
 
 /**
- * @param request What to place.
- * @param usable Failure domains of the region that can take requests now.
- * @returns Them, best first; those without weight come last.
+ * Ranks the failure domains of a region for a request.
+ *
+ * @param request The request to place.
+ * @param usable Failure domains of the region that accept requests now.
+ * @returns The usable failure domains, best first. Those without weight get a
+ * negligible one, so that they remain a last resort.
  */
 export function rankDomains(
   request: PlacementRequest,
--- a/src/steering/plan_rows.ts
+++ b/src/steering/plan_rows.ts
@@ -6,12 +6,14 @@
 import type { Row } from "../platform/types.ts";
 import { type Plan, planSchema } from "./types.ts";
 
-/** Plans by their row, which never changes once it is made. */
+/** Parsed plans by row; a row object is never modified. */
 const planCache = new WeakMap<Row, Plan>();
 
 /**
- * @param row A plan's row, if known.
- * @returns The plan, or undefined where there is none or it is malformed.
+ * Parses a plan, once per row object.
+ *
+ * @param row The row that stores the plan, if known.
+ * @returns The plan, or undefined where the row is absent or malformed.
  */
 export function readPlan(row: Row | undefined): Plan | undefined {
   if (row === undefined || row.version === 0) return undefined;
--- a/src/steering/planner.ts
+++ b/src/steering/planner.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the lease and writes plans: one transaction a second that renews the
- * lease and holds every new plan.
+ * Competes for the lease and, as its holder, writes plans: one transaction per
+ * second renews the lease and writes all new plans.
  *
  * @module
  */
@@ -31,13 +31,14 @@
 
 const log = createLogger("steering");
 
+/** Time between two checks of the lease, in ms. */
 const TICK_PERIOD_MS = 500;
-/** Time in which a new steer learns who is alive before it judges anybody. */
+/** Time in which a new steer discovers live members before it acts, in ms. */
 const MEMBER_DISCOVERY_MS = 4_000;
-/** Time between two snapshots of the rows. */
+/** Time between two snapshots of the rows, in ms. */
 const SNAPSHOT_PERIOD_MS = 10_000;
 
-/** What the planner needs. */
+/** Dependencies of the planner. */
 export interface PlannerOptions {
   agent: ControlAgent;
   platform: Platform;
@@ -47,14 +48,16 @@
 
 /** A running planner. */
 export interface Planner {
+  /** @returns The planner's state, for the state dump. */
   dump(): unknown;
+  /** Stops the planner and discards writes that have not begun. */
   close(): void;
 }
 
 /**
- * Starts a candidate for the lease.
+ * Starts a planner: a candidate for the lease, which plans while it holds it.
  *
- * @param options See there.
+ * @param options The planner's dependencies.
  * @returns The running planner.
  */
 export function startPlanner(options: PlannerOptions): Planner {
@@ -89,6 +92,7 @@
     if (isHolder(lease)) await storeSnapshot();
   }
 
+  /** @returns Rank of this steer among the serving steers; -1 if not among them. */
   function getCandidateRank(): number {
     const steers = agent.serving("steer").map((member) => ({
       id: member.id,
@@ -135,6 +139,7 @@
     });
   }
 
+  /** Writes the lease and plans unless one of their rows has changed. */
   async function commitLeaseAndPlans(
     next: Lease,
     ifVersion: number,
@@ -162,7 +167,10 @@
       return;
     }
     if (commit.value.outcome === "conflict") {
-      log.info("Another steer wrote first", { step: "planner.write" });
+      log.info(
+        "Lease and plans not written: another steer changed one of the rows first",
+        { step: "planner.write" },
+      );
       return;
     }
     const { version } = commit.value;
@@ -173,6 +181,7 @@
     }
   }
 
+  /** Applies committed rows at once, before they arrive with the table's changes. */
   function applyCommittedRows(
     puts: RowPut[],
     committed: { writeId: string; version: number },
@@ -185,6 +194,7 @@
     });
   }
 
+  /** Stores all rows as an object, at most once per period. */
   async function storeSnapshot(): Promise<void> {
     if (clock.monotonicMs() - lastSnapshotMs < SNAPSHOT_PERIOD_MS) return;
     lastSnapshotMs = clock.monotonicMs();
--- a/src/steering/shift.ts
+++ b/src/steering/shift.ts
@@ -1,38 +1,41 @@
 /**
- * Shifts of traffic between regions, and the budget that keeps them under a
- * service's cap. A place, for the cap, is a region: what moves between failure
- * domains of one region does not count. Pure.
+ * Measures shifts of traffic between regions and budgets them under a service's
+ * shift cap. Moves between failure domains of one region do not count against the
+ * cap. Pure functions.
  *
  * @module
  */
 import type { PlanStep, RegionOf, WeightRow, Weights } from "./types.ts";
 
-/** Part of the cap that plans spend; written by the lease's holder only. */
+/** Largest fraction of the cap that plans, written by the lease's holder, may use. */
 export const SHARED_CAP_FRACTION = 0.85;
 /**
- * Part of the cap that each process may spend by itself. It counts the share
- * of the process's own traffic, so that all processes' parts together are this
- * part of the whole traffic, with no messages. What is left of the cap covers
- * the granularity of client blocks.
+ * Fraction of the cap that each process may use by itself, without a plan. It
+ * applies to the process's own traffic, so all processes together stay within this
+ * fraction of the whole traffic without exchanging messages. The rest of the cap
+ * covers the granularity of client blocks.
  */
 export const LOCAL_CAP_FRACTION = 0.1;
-/** Time from the writing of a plan until it takes effect everywhere, in ms. */
+/** Time from the writing of a plan until it takes effect, in ms. */
 export const PLAN_LEAD_TIME_MS = 1_500;
-/** A process that is later than this walks by its local part, in ms. */
+/** Delay beyond which a process takes a step within its local cap, in ms. */
 export const MAX_STEP_DELAY_MS = 1_000;
-/** How far two clocks may be apart, in ms. */
+/** Largest assumed difference between two clocks, in ms. */
 export const MAX_CLOCK_SKEW_MS = 250;
-/** Longest time between the first and the last process to take a step. */
+/** Longest time between the first and the last process to take a step, in ms. */
 export const MAX_STEP_SPREAD_MS = MAX_STEP_DELAY_MS + 2 * MAX_CLOCK_SKEW_MS;
 
-/** A service's cap. */
+/** Limit on the traffic of a service that changes region within a window. */
 export interface ShiftCap {
-  /** Share of the service's traffic. */
+  /** Share of the service's traffic, 0 to 1. */
   maxShare: number;
+  /** Length of the window, in ms. */
   windowMs: number;
 }
 
 /**
+ * Sums the weights of a row by region.
+ *
  * @param row Weights by failure domain.
  * @param regionOf Region of each failure domain.
  * @returns Weights by region.
@@ -47,8 +50,10 @@
 }
 
 /**
- * @param from One row.
- * @param to Another row.
+ * Measures the shift between two rows.
+ *
+ * @param from The row before.
+ * @param to The row after.
  * @param regionOf Region of each failure domain.
  * @returns Share of the row's traffic that changes region, 0 to 1.
  */
@@ -67,7 +72,7 @@
   return difference / 2;
 }
 
-/** Two sets of weights and what is needed to compare them. */
+/** A change from one set of weights to another. */
 export interface WeightChange {
   from: Weights;
   to: Weights;
@@ -75,7 +80,10 @@
 }
 
 /**
- * @param change The weights.
+ * Measures the shift that a change causes in the service's traffic. A region
+ * without a row before counts as unmoved.
+ *
+ * @param change The weights before and after.
  * @param demandShare Share of the traffic that comes from each region.
  * @returns Share of the service's traffic that changes region.
  */
@@ -94,8 +102,10 @@
 }
 
 /**
- * @param change The weights.
- * @returns The largest share of any one region's traffic that changes region.
+ * Measures the largest shift that a change causes in one region's traffic.
+ *
+ * @param change The weights before and after.
+ * @returns The share of that region's traffic that changes region, 0 to 1.
  */
 export function measureLargestRowShift(
   { from, to, regionOf }: WeightChange,
@@ -108,19 +118,20 @@
   );
 }
 
-/** Deviations of the moved share from its mean that stay under the cap. */
+/** Standard deviations of the moved share that are kept below the cap. */
 const DEVIATION_MARGIN = 2;
-/** Part of the cap that plans spend however few blocks there are. */
+/** Fraction of the cap that plans may use with any number of blocks. */
 const MIN_SHARED_CAP_FRACTION = 0.25;
 
 /**
- * The share that a window of plans may move. Which blocks move is decided by
- * hashing, so the share that really moves varies around the one planned: with n
- * blocks and a share of s, by a standard deviation of sqrt(s / n).
+ * Computes the share of the traffic that plans may move within a window. Hashing
+ * selects the client blocks that move, so the share that actually moves varies
+ * around the planned one: for n blocks and a share s, with a standard deviation of
+ * sqrt(s / n).
  *
- * @param maxShare The service's cap.
- * @param blockCount Client blocks of the fleet.
- * @returns The share that plans spend in a window.
+ * @param maxShare The service's cap, as a share of its traffic.
+ * @param blockCount Number of client blocks in the fleet.
+ * @returns The share of the traffic that plans may move in a window.
  */
 export function getSharedCap(maxShare: number, blockCount: number): number {
   const deviation = Math.sqrt(maxShare / blockCount);
@@ -133,10 +144,12 @@
 }
 
 /**
- * @param cap The service's cap, and the share of it that plans spend.
+ * Computes what plans may still move at a time.
+ *
+ * @param cap The service's cap, and the share of the traffic that plans may move.
  * @param trail Steps taken so far.
  * @param nowMs Time on the clock of the steps, in ms.
- * @returns Share that a plan may still move now.
+ * @returns The remaining share of the service's traffic.
  */
 export function getRemainingBudget(
   cap: ShiftCap & { sharedCap: number },
@@ -149,10 +162,13 @@
 }
 
 /**
+ * Lists the steps that still count against the cap: those of the last window,
+ * lengthened by the time in which processes may take a step one after another.
+ *
  * @param trail Steps taken so far.
  * @param cap The service's cap.
  * @param nowMs Time on the clock of the steps, in ms.
- * @returns The steps that still count against the cap.
+ * @returns The steps that count.
  */
 export function listCountedSteps<T extends { atMs: number }>(
   trail: readonly T[],
@@ -165,13 +181,13 @@
 }
 
 /**
- * Goes part of the way from one row to another. Weights inside a region follow
- * the target at once; only the regions' sums go part of the way.
+ * Interpolates between two rows. Only the regions' sums are interpolated; inside a
+ * region, the weights take the target's proportions at once.
  *
  * @param from The row in force.
- * @param to The row wanted.
- * @param options Part of the way, 0 to 1, and the failure domains' regions.
- * @returns The row between.
+ * @param to The target row.
+ * @param options The fraction to move, 0 to 1, and the failure domains' regions.
+ * @returns The interpolated row.
  */
 export function interpolateRow(
   from: WeightRow,
@@ -193,19 +209,22 @@
   return row;
 }
 
-/** What a step may spend and on which rows first. */
+/** Budget of a step and the order in which rows use it. */
 export interface StepOptions {
+  /** Share of the service's traffic that may change region. */
   budget: number;
+  /** Share of the service's traffic that comes from each region. */
   demandShare: Record<string, number>;
-  /** Rows that leave a place that can't serve them go first. */
+  /** @returns Whether a region's row moves first, as its domains can't serve it. */
   isUrgent(region: string): boolean;
 }
 
 /**
- * Goes towards wanted weights as far as a budget allows.
+ * Moves weights towards a target as far as a budget allows. Urgent rows use the
+ * budget first; rows of one group move by the same fraction.
  *
- * @param change Weights in force and weights wanted.
- * @param options Budget, and which rows go first.
+ * @param change The weights in force and the target.
+ * @param options The budget and the urgent rows.
  * @returns The weights after the step.
  */
 export function stepTowards(
--- a/src/steering/steering.ts
+++ b/src/steering/steering.ts
@@ -1,5 +1,5 @@
 /**
- * The weights in force in a process, one follower for each service.
+ * The weights in force in a process, with one follower per service.
  *
  * @module
  */
@@ -20,30 +20,34 @@
 import { readPlan } from "./plan_rows.ts";
 import { getPlanKey, type WeightRow } from "./types.ts";
 
+/** Time between two updates of the followers, in ms. */
 const TICK_PERIOD_MS = 250;
-/** Age of the lease's last renewal at which nobody is taken to plan. */
+/** Time without a renewal of the lease after which no planner is assumed, in ms. */
 const PLANNER_TIMEOUT_MS = 6_000;
 
 /** The weights in force. */
 export interface Steering {
-  /** @returns Weights for callers of a region; empty for an unknown service. */
+  /** @returns Weights for a region's callers; empty for an unknown service. */
   getWeightRow(service: string, callerRegion: string): WeightRow;
   /** @returns Number of the plan in force; 0 before any. */
   planNumber(service: string): number;
+  /** @returns The followers' state by service, for the state dump. */
   dump(): unknown;
+  /** Stops following plans. */
   close(): void;
 }
 
-/** What it needs. */
+/** Dependencies of steering. */
 export interface SteeringOptions {
   agent: ControlAgent;
   clock: Clock;
 }
 
 /**
- * Starts following plans.
+ * Starts to follow plans. Without a planner, the process moves by itself towards
+ * the newest plan, with lost regions replaced.
  *
- * @param options See there.
+ * @param options The dependencies.
  * @returns The weights in force.
  */
 export function startSteering({ agent, clock }: SteeringOptions): Steering {
@@ -83,6 +87,7 @@
     moveWithinLocalCap(follower, target, context);
   }
 
+  /** Creates a follower, unless the fleet's document is still unknown. */
   function startFollower(document: ServiceDocument): FollowerState | undefined {
     const { fleet, regionOf } = agent.config();
     if (fleet === undefined) return undefined;
@@ -94,6 +99,7 @@
     return createFollower(makeDefaultWeights(document, context));
   }
 
+  /** Lists the service's regions in which this process sees a serving entry. */
   function listAliveRegions(document: ServiceDocument): Set<string> {
     const alive = agent.serving("entry").map((member) => member.region);
     return new Set(
--- a/src/steering/types.ts
+++ b/src/steering/types.ts
@@ -1,73 +1,80 @@
 /**
- * Plans: where the traffic of each region runs.
+ * Plans, which say in which failure domains the traffic of each region runs, and
+ * the input they are made from.
  *
  * @module
  */
 import * as z from "zod";
 
-/** Share of a region's traffic by failure domain; a row sums to 1. */
+/** Share of one region's traffic by failure domain; the shares sum to 1. */
 export type WeightRow = Record<string, number>;
-/** Rows by the caller's region. */
+/** Weight rows by the callers' region. */
 export type Weights = Record<string, WeightRow>;
 /** Region of each failure domain. */
 export type RegionOf = ReadonlyMap<string, string>;
 
 const stepSchema = z.object({
-  /** Number of the plan that took this step. */
+  /** Number of the plan that made this step. */
   number: z.number(),
-  /** When it takes effect, in ms since the epoch. */
+  /** Time at which it takes effect, in ms since the Unix epoch. */
   atMs: z.number(),
-  /** Share of the service's traffic whose region it changed. */
+  /** Share of the service's traffic that it moves to another region. */
   share: z.number(),
 });
 
-/** Schema of a plan's row. */
+/** Schema of the table row that stores a plan. */
 export const planSchema = z.object({
   service: z.string(),
-  /** Rises by 1 with each plan of the service. */
+  /** Increases by 1 with each plan of the service. */
   number: z.number(),
-  /** Epoch of the lease under which it was written. */
+  /** Epoch of the lease under which the plan was written. */
   epoch: z.number(),
-  /** When it takes effect, in ms since the epoch. */
+  /** Time at which it takes effect, in ms since the Unix epoch. */
   effectiveAtMs: z.number(),
   weights: z.record(z.string(), z.record(z.string(), z.number())),
   /** Share of the service's traffic that comes from each region. */
   demandShare: z.record(z.string(), z.number()),
-  /** Steps of the last window and spread, this plan's own included. */
+  /** Steps that still count against the shift cap, this plan's own included. */
   trail: z.array(stepSchema),
 });
 
-/** A service's plan. */
+/** A plan of one service. */
 export type Plan = z.infer<typeof planSchema>;
-/** A step that a plan took. */
+/** A step of traffic between regions that a plan made. */
 export type PlanStep = z.infer<typeof stepSchema>;
 
 /** Demand of one region's callers. */
 export interface CallerDemand {
+  /** The callers' region. */
   region: string;
-  /** Backend server slots that its requests keep busy. */
+  /** Backend server slots that their requests occupy on average. */
   slots: number;
 }
 
-/** A failure domain that may run the service. */
+/** Capacity of a failure domain in which the service may run. */
 export interface DomainCapacity {
   failureDomain: string;
   region: string;
-  /** Slots that may be used; 0 where it is drained, dead or out of reach. */
+  /** Slots that plans may use; 0 where it is drained, dead or unreachable. */
   slots: number;
 }
 
-/** What an assignment is made from. */
+/** Input of an assignment of demand to failure domains. */
 export interface AssignInput {
   demand: readonly CallerDemand[];
   domainCapacities: readonly DomainCapacity[];
-  /** One-way delay between two regions, in ms. */
+  /** @returns One-way delay between two regions, in ms. */
   delayMs(from: string, to: string): number;
-  /** Slots' worth of requests that a link may carry. */
+  /** @returns Capacity of a link, as the slots that requests over it occupy. */
   linkSlots(from: string, to: string): number;
 }
 
-/** Key of a service's plan in the table. */
+/**
+ * Builds the key of a service's plan in the table.
+ *
+ * @param service The service's name.
+ * @returns The key.
+ */
 export function getPlanKey(service: string): string {
   return `plan/${service}`;
 }
