--- a/src/measurement/quantise.ts
+++ b/src/measurement/quantise.ts
@@ -25,8 +25,8 @@
  * Rounds all measurements of an entry but its slots.
  *
  * @param load The measurements.
- * @returns A rounded copy: utilization in steps of 0.05, the other values to two
- * significant digits.
+ * @returns A rounded copy: utilization in steps of 0.05, the other values to
+ * two significant digits.
  */
 export function quantiseLoad(load: EntryLoad): EntryLoad {
   return {
--- a/src/measurement/rate.ts
+++ b/src/measurement/rate.ts
@@ -13,7 +13,8 @@
    *
    * @param nowMs Monotonic time, in ms.
    * @returns The smoothed amount per second. Where no time has passed since the
-   * last reading, that reading's result (0 without one); the count is then kept.
+   * last reading, that reading's result (0 without one); the count is then
+   * kept.
    */
   read(nowMs: number): number;
 }
--- a/src/measurement/types.ts
+++ b/src/measurement/types.ts
@@ -18,7 +18,9 @@
   usableSlots: number;
   /** Requests that backend servers are running now. */
   inFlight: number;
-  /** Mean time a backend server takes for a request, in ms; 0 before the first. */
+  /**
+   * Mean time a backend server takes for a request, in ms; 0 before the first.
+   */
   serviceMs: number;
   /** Request rates by the callers' regions, refused requests included. */
   arrivals: Arrivals[];
--- a/src/steering/assign.ts
+++ b/src/steering/assign.ts
@@ -1,7 +1,7 @@
 /**
  * Assigns demand to failure domains within the capacity of regions and links: a
- * greedy assignment in order of delay, then exchanges that lower the total delay.
- * Pure functions.
+ * greedy assignment in order of delay, then exchanges that lower the total
+ * delay. Pure functions.
  *
  * @module
  */
@@ -19,7 +19,9 @@
 /** Limit on rounds of exchanges; each round lowers the total delay. */
 const MAX_EXCHANGE_ROUNDS = 200;
 
-/** Slots of one region's demand that are served in another or the same region. */
+/**
+ * Slots of one region's demand that are served in another or the same region.
+ */
 interface Flow {
   /** Index of the callers' region. */
   from: number;
@@ -83,7 +85,7 @@
     demand: input.demand.map(({ slots }) => slots),
     capacity: regions.map((region) =>
       sumOf(
-        input.domainCapacities.filter((place) => place.region === region)
+        input.domainCapacities.filter((domain) => domain.region === region)
           .map(({ slots }) => slots),
       )
     ),
@@ -227,7 +229,10 @@
   return linkSlots[from][to] - flows[from][to];
 }
 
-/** Builds a row; inside a region, weights are proportional to the domains' slots. */
+/**
+ * Builds a row; inside a region, weights are proportional to the domains'
+ * slots.
+ */
 function makeRow(
   input: AssignInput,
   { domainRegionIndex, capacity }: RegionProblem,
@@ -237,11 +242,11 @@
   const total = sumOf(flow);
   if (total <= EPSILON_SLOTS) return makeNearestRow(input, caller);
   const row: WeightRow = {};
-  input.domainCapacities.forEach((place, number) => {
+  input.domainCapacities.forEach((domain, number) => {
     const index = domainRegionIndex[number];
-    if (flow[index] <= EPSILON_SLOTS || place.slots <= 0) return;
-    const share = place.slots / capacity[index];
-    row[place.failureDomain] = flow[index] / total * share;
+    if (flow[index] <= EPSILON_SLOTS || domain.slots <= 0) return;
+    const share = domain.slots / capacity[index];
+    row[domain.failureDomain] = flow[index] / total * share;
   });
   return row;
 }
@@ -251,19 +256,21 @@
  * region with capacity, or to the nearest one where none has any.
  */
 function makeNearestRow(input: AssignInput, from: string): WeightRow {
-  const usable = input.domainCapacities.filter((place) =>
-    place.slots > EPSILON_SLOTS
+  const usable = input.domainCapacities.filter((domain) =>
+    domain.slots > EPSILON_SLOTS
   );
   const candidates = usable.length > 0 ? usable : input.domainCapacities;
-  const getDelayMs = (place: DomainCapacity) =>
-    input.delayMs(from, place.region);
+  const getDelayMs = (domain: DomainCapacity) =>
+    input.delayMs(from, domain.region);
   const nearestMs = Math.min(...candidates.map(getDelayMs));
-  const nearest = candidates.filter((place) => getDelayMs(place) === nearestMs);
-  const slots = sumOf(nearest.map((place) => place.slots));
+  const nearest = candidates.filter((domain) =>
+    getDelayMs(domain) === nearestMs
+  );
+  const slots = sumOf(nearest.map((domain) => domain.slots));
   return Object.fromEntries(
-    nearest.map((place) => [
-      place.failureDomain,
-      slots > 0 ? place.slots / slots : 1 / nearest.length,
+    nearest.map((domain) => [
+      domain.failureDomain,
+      slots > 0 ? domain.slots / slots : 1 / nearest.length,
     ]),
   );
 }
@@ -291,7 +298,7 @@
   weights: Weights,
 ): WeightAssessment {
   const capacities = new Map(
-    input.domainCapacities.map((place) => [place.failureDomain, place]),
+    input.domainCapacities.map((domain) => [domain.failureDomain, domain]),
   );
   const usedSlots = new Map<string, number>();
   let delaySum = 0;
--- a/src/steering/assign_test.ts
+++ b/src/steering/assign_test.ts
@@ -47,7 +47,7 @@
   assert.equal(weights.b, { b1: 1 });
 });
 
-test("what does not fit spills to the place of least added delay", () => {
+test("demand beyond a region's capacity goes where it adds the least delay", () => {
   const weights = assign(
     makeInput({ a: 12, b: 2, c: 2 }, { a1: 10, b1: 10, c1: 10 }),
   );
@@ -55,7 +55,7 @@
   assert.is(weights.a.c1, undefined);
 });
 
-test("a full link sends the rest elsewhere", () => {
+test("demand beyond a link's capacity goes to another region", () => {
   const weights = assign(
     makeInput({ a: 12, b: 0, c: 0 }, { a1: 8, b1: 10, c1: 10 }, {
       linkSlots: 2,
@@ -65,12 +65,12 @@
   assert.ok(Math.abs(weights.a.c1 - 2 / 12) < 1e-9);
 });
 
-test("a dead region's callers go to the nearest that has room", () => {
+test("a region without slots sends its callers to the nearest with capacity", () => {
   const weights = assign(makeInput({ a: 4 }, { a1: 0, b1: 9, c1: 9 }));
   assert.equal(weights.a, { b1: 1 });
 });
 
-test("without any capacity, callers stay where they are", () => {
+test("without any capacity, callers stay in their own region", () => {
   const weights = assign(makeInput({ a: 4 }, { a1: 0, b1: 0 }));
   assert.equal(weights.a, { a1: 1 });
 });
@@ -89,7 +89,7 @@
   }),
 });
 
-test("rows sum to 1, and no place is overfilled while there is room", () => {
+test("rows sum to 1, and no domain is overloaded while capacity suffices", () => {
   fc.assert(
     fc.property(inputs, ({ demand, slots }) => {
       const input = makeInput(demand, slots);
@@ -111,7 +111,9 @@
   return Object.values(values).reduce((sum, value) => sum + value, 0);
 }
 
-/** Least cost by trying every whole-slot assignment of three regions. */
+/**
+ * Finds the least total delay over all whole-slot assignments of three regions.
+ */
 function findOptimum(
   demand: Record<string, number>,
   slots: Record<string, number>,
@@ -128,7 +130,11 @@
   );
   let best = Infinity;
 
-  function place(index: number, left: Map<string, number>, cost: number): void {
+  function tryAssignments(
+    index: number,
+    remaining: Map<string, number>,
+    cost: number,
+  ): void {
     if (cost >= best) return;
     if (index === regions.length) {
       best = cost;
@@ -136,28 +142,36 @@
     }
     const from = regions[index];
     const needed = demand[from];
-    for (let first = 0; first <= Math.min(needed, left.get("a")!); first++) {
+    for (
+      let first = 0;
+      first <= Math.min(needed, remaining.get("a")!);
+      first++
+    ) {
       const rest = needed - first;
-      for (let second = 0; second <= Math.min(rest, left.get("b")!); second++) {
+      for (
+        let second = 0;
+        second <= Math.min(rest, remaining.get("b")!);
+        second++
+      ) {
         const third = rest - second;
-        if (third > left.get("c")!) continue;
+        if (third > remaining.get("c")!) continue;
         const next = new Map([
-          ["a", left.get("a")! - first],
-          ["b", left.get("b")! - second],
-          ["c", left.get("c")! - third],
+          ["a", remaining.get("a")! - first],
+          ["b", remaining.get("b")! - second],
+          ["c", remaining.get("c")! - third],
         ]);
         const added = first * delays[`${from} a`] +
           second * delays[`${from} b`] + third * delays[`${from} c`];
-        place(index + 1, next, cost + added);
+        tryAssignments(index + 1, next, cost + added);
       }
     }
   }
 
-  place(0, free, 0);
+  tryAssignments(0, free, 0);
   return best;
 }
 
-test("mean delay against the exhaustive optimum", () => {
+test("the mean delay is within 1 ms of the exhaustive optimum", () => {
   const regrets: number[] = [];
   const small = fc.integer({ min: 0, max: 7 });
   fc.assert(
--- a/src/steering/decide.ts
+++ b/src/steering/decide.ts
@@ -22,9 +22,13 @@
 const TOLERATED_DELAY_MS = 0.5;
 /** The same, as a share of the delay of the best weights. */
 const TOLERATED_DELAY_SHARE = 0.05;
-/** Excess utilization that is tolerated rather than move traffic, as a share. */
+/**
+ * Excess utilization that is tolerated rather than move traffic, as a share.
+ */
 const TOLERATED_EXCESS_UTILIZATION = 0.02;
-/** While less than this fraction of the shared cap is left, partial steps wait. */
+/**
+ * While less than this fraction of the shared cap is left, partial steps wait.
+ */
 const MIN_STEP_FRACTION = 0.25;
 /** Shares and weights that differ by less than this count as equal. */
 const EPSILON = 1e-6;
@@ -58,11 +62,13 @@
 }
 
 /**
- * Decides on a service's next plan. The first plan is made of the default weights.
+ * Decides on a service's next plan. The first plan is made of the default
+ * weights.
  *
  * @param input The plan in force, the estimated load and the time.
- * @returns The plan to write, or undefined where the current one is kept: it has
- * not taken effect yet, it is acceptable, or the budget allows no useful step.
+ * @returns The plan to write, or undefined where the current one is kept: it
+ * has not taken effect yet, it is acceptable, or the budget allows no useful
+ * step.
  */
 export function decidePlan(input: DecideInput): Plan | undefined {
   const { current, estimate, document } = input;
@@ -140,8 +146,8 @@
   region: string,
 ): boolean {
   const row = current.weights[region] ?? {};
-  return input.domainCapacities.some((place) =>
-    place.slots === 0 && (row[place.failureDomain] ?? 0) > 0
+  return input.domainCapacities.some((domain) =>
+    domain.slots === 0 && (row[domain.failureDomain] ?? 0) > 0
   );
 }
 
--- a/src/steering/defaults.ts
+++ b/src/steering/defaults.ts
@@ -1,7 +1,7 @@
 /**
  * Default weights, computed from the documents alone. Every process uses them
- * until the first plan, so the first plan must equal them: otherwise it would move
- * traffic without counting it against the shift cap. Pure functions.
+ * until the first plan, so the first plan must equal them: otherwise it would
+ * move traffic without counting it against the shift cap. Pure functions.
  *
  * @module
  */
@@ -14,7 +14,9 @@
 export interface DefaultWeightsContext {
   fleet: FleetDocument;
   regionOf: RegionOf;
-  /** Wall-clock time, in ms since the Unix epoch; selects the drains in force. */
+  /**
+   * Wall-clock time, in ms since the Unix epoch; selects the drains in force.
+   */
   wallMs: number;
 }
 
--- a/src/steering/estimate.ts
+++ b/src/steering/estimate.ts
@@ -1,7 +1,7 @@
 /**
  * Estimates demand and capacity from measurements of any age. Old or missing
- * measurements increase the reserve and fall back on the declared values; they are
- * never taken for zero load and never block a decision. Pure functions.
+ * measurements increase the reserve and fall back on the declared values; they
+ * are never taken for zero load and never block a decision. Pure functions.
  *
  * @module
  */
@@ -28,7 +28,9 @@
 const MAX_AGE_RESERVE_SHARE = 0.3;
 /** Share of a link's limit that plans may use. */
 const MAX_LINK_FILL_SHARE = 0.85;
-/** Demand of a region without declared or measured demand, in requests a second. */
+/**
+ * Demand of a region without declared or measured demand, in requests a second.
+ */
 const FALLBACK_REQUESTS_PER_S = 1;
 /** Size of a request and its answer until it is measured, in bytes. */
 const DEFAULT_BYTES_PER_REQUEST = 2_000;
@@ -122,8 +124,8 @@
  * @param fleet The fleet's document.
  * @param from The callers' region.
  * @param to The serving region.
- * @returns The link declared in this direction, else in the other; undefined where
- * there is none.
+ * @returns The link declared in this direction, else in the other; undefined
+ * where there is none.
  */
 export function findLink(fleet: FleetDocument, from: string, to: string) {
   return fleet.links.find((link) => link.from === from && link.to === to) ??
--- a/src/steering/estimate_test.ts
+++ b/src/steering/estimate_test.ts
@@ -36,7 +36,7 @@
   classes: [{ name: "read", methods: ["GET"], idempotent: true }],
 });
 
-/** Figures of one entry of each domain, as old as told. */
+/** Builds measurements of one entry per domain, with the given ages in ms. */
 function makeLoads(
   ages: Record<string, number>,
   changes: { usableSlots?: number; requestsPerS?: number } = {},
@@ -79,44 +79,46 @@
     input.demand.map(({ region, slots }) => [region, slots]),
   );
   const slots = Object.fromEntries(
-    input.domainCapacities.map((place) => [place.failureDomain, place.slots]),
+    input.domainCapacities.map((
+      domain,
+    ) => [domain.failureDomain, domain.slots]),
   );
   return { demand, slots, input };
 }
 
 const cases: [string, Partial<EstimateInput>, string, number, number][] = [
-  ["fresh figures", { loads: makeLoads({ a1: 0, b1: 0 }) }, "a", 8, 18],
-  ["no figures at all: what is declared, the widest reserve", {}, "a", 5, 12],
+  ["fresh measurements", { loads: makeLoads({ a1: 0, b1: 0 }) }, "a", 8, 18],
+  ["no measurements: declared demand, the largest reserve", {}, "a", 5, 12],
   [
-    "figures of one domain only: the others' demand is not nothing",
+    "measurements of one domain only: at least the declared demand",
     { loads: makeLoads({ a1: 0 }) },
     "b",
     3,
     18,
   ],
   [
-    "old figures: at least what is declared, a wider reserve",
+    "old measurements: at least the declared demand, a larger reserve",
     { loads: makeLoads({ a1: 9_000, b1: 9_000 }, { requestsPerS: 1 }) },
     "a",
     5,
     16,
   ],
   [
-    "fresh figures of no demand never read as none",
+    "a fresh measurement of 0 is not taken for zero demand",
     { loads: makeLoads({ a1: 0, b1: 0 }, { requestsPerS: 0 }) },
     "a",
     0.1,
     18,
   ],
   [
-    "more slots than declared are not believed",
+    "reported slots beyond the declared ones are ignored",
     { loads: makeLoads({ a1: 0, b1: 0 }, { usableSlots: 900 }) },
     "a",
     8,
     18,
   ],
   [
-    "fewer usable slots than declared are",
+    "fewer usable slots than declared are used",
     { loads: makeLoads({ a1: 0, b1: 0 }, { usableSlots: 10 }) },
     "a",
     8,
@@ -140,7 +142,7 @@
     0,
   ],
   [
-    "a drain that has not begun changes nothing",
+    "a drain that has not begun has no effect",
     {
       document: {
         ...document,
@@ -159,23 +161,23 @@
 
 for (const [name, changes, region, demand, slots] of cases) {
   test(name, () => {
-    const found = run(changes);
-    assert.ok(Math.abs(found.demand[region] - demand) < 1e-9, name);
+    const result = run(changes);
+    assert.ok(Math.abs(result.demand[region] - demand) < 1e-9, name);
     assert.ok(
-      Math.abs(found.slots.a1 - slots) < 1e-9,
-      `${found.slots.a1} slots`,
+      Math.abs(result.slots.a1 - slots) < 1e-9,
+      `${result.slots.a1} slots`,
     );
   });
 }
 
-test("a link carries what its limit allows, none without a link", () => {
+test("a link carries what its limit allows; without a link, nothing", () => {
   const { input } = run({ loads: makeLoads({ a1: 0, b1: 0 }) });
   assert.ok(Math.abs(input.linkSlots("a", "b") - 8.5) < 1e-9);
   assert.is(input.linkSlots("a", "a"), Infinity);
   assert.is(input.linkSlots("a", "z"), 0);
 });
 
-test("the reserve grows with age, to a bound", () => {
+test("the reserve grows with age up to a limit", () => {
   const reserves = [0, 4_000, 9_000, 900_000].map((ageMs) =>
     Number(getReserveShare(0.1, ageMs).toFixed(3))
   );
--- a/src/steering/follower.ts
+++ b/src/steering/follower.ts
@@ -1,7 +1,7 @@
 /**
- * The weights that a process uses. A process follows plans step by step; where it
- * missed steps or receives no plans, it moves within its local part of the shift
- * cap. Pure functions, which change only the state passed in.
+ * The weights that a process uses. A process follows plans step by step; where
+ * it missed steps or receives no plans, it moves within its local part of the
+ * shift cap. Pure functions, which change only the state passed in.
  *
  * @module
  */
@@ -57,9 +57,9 @@
 }
 
 /**
- * Follows a plan. The first plan is adopted at once, and one that the process can
- * take in step with the others when it takes effect; towards any other plan the
- * process moves within its local cap.
+ * Follows a plan. The first plan is adopted at once, and one that the process
+ * can take in step with the others when it takes effect; towards any other plan
+ * the process moves within its local cap.
  *
  * @param state Changed in place.
  * @param plan The newest plan known.
@@ -92,8 +92,8 @@
 }
 
 /**
- * Whether all steps since the plan in force are in the trail, and none that moves
- * traffic is too late.
+ * Whether all steps since the plan in force are in the trail, and none that
+ * moves traffic is too late.
  */
 function hasAllStepsOnTime(
   state: FollowerState,
@@ -122,19 +122,16 @@
   { cap, regionOf, nowMs }: FollowContext,
 ): void {
   state.moves = listCountedSteps(state.moves, cap, nowMs);
-  const spent = state.moves.reduce((sum, move) => sum + move.share, 0);
-  const budget = Math.max(0, cap.maxShare * LOCAL_CAP_FRACTION - spent);
+  const usedShare = state.moves.reduce((sum, move) => sum + move.share, 0);
+  const budget = Math.max(0, cap.maxShare * LOCAL_CAP_FRACTION - usedShare);
   const next: Weights = {};
   let largestShift = 0;
   for (const [region, targetRow] of Object.entries(target)) {
     const startRow = state.weights[region] ?? targetRow;
     const shift = measureRowShift(startRow, targetRow, regionOf);
-    const fraction = shift <= budget ? 1 : budget / shift;
-    next[region] = interpolateRow(startRow, targetRow, {
-      part: fraction,
-      regionOf,
-    });
-    largestShift = Math.max(largestShift, shift * fraction);
+    const part = shift <= budget ? 1 : budget / shift;
+    next[region] = interpolateRow(startRow, targetRow, { part, regionOf });
+    largestShift = Math.max(largestShift, shift * part);
   }
   state.inStep = false;
   state.weights = next;
--- a/src/steering/lease.ts
+++ b/src/steering/lease.ts
@@ -1,13 +1,13 @@
 /**
- * The lease under which plans are written. Pure functions, which change only the
- * state passed in; the planner executes their decisions.
+ * The lease under which plans are written. Pure functions, which change only
+ * the state passed in; the planner executes their decisions.
  *
  * Each candidate measures the expiry of a lease by its own monotonic clock: it
  * waits until the row has been unchanged for the whole term, so clocks need not
- * agree. Safety does not depend on time: each transaction that writes a plan has
- * the version of the lease row as a condition, so a former holder that resumes
- * late writes nothing (compare the sequencers in Burrows, "The Chubby lock
- * service", OSDI 2006).
+ * agree. Safety does not depend on time: each transaction that writes a plan
+ * has the version of the lease row as a condition, so a former holder that
+ * resumes late writes nothing (compare the sequencers in Burrows, "The Chubby
+ * lock service", OSDI 2006).
  *
  * @module
  */
@@ -109,8 +109,8 @@
 }
 
 /**
- * Tells whether a candidate holds the lease by the newest row it has seen. Only a
- * conditional write can confirm that it still does.
+ * Tells whether a candidate holds the lease by the newest row it has seen. Only
+ * a conditional write can confirm that it still does.
  *
  * @param state The candidate's view.
  * @returns Whether the row names the candidate's process.
--- a/src/steering/lease_test.ts
+++ b/src/steering/lease_test.ts
@@ -16,10 +16,15 @@
 const SEED = 20261202;
 const PLAN_KEY = "plan/s";
 
-/** A decision that is written some steps after it was made. */
+/**
+ * A decision and the write of it some steps later, on rows that may have
+ * changed.
+ */
 interface PendingWrite {
   action: Extract<LeaseAction, { action: "write" }>;
+  /** Version of the plan's row at the decision. */
   planVersion: number;
+  /** Steps until the write. */
   delay: number;
 }
 
@@ -29,6 +34,11 @@
   pending: PendingWrite | undefined;
 }
 
+/**
+ * Writes the lease and, as its holder, a plan in one conditional transaction.
+ *
+ * @returns The epoch of the plan, if one was written.
+ */
 async function writePending(
   table: MemoryTable,
   candidate: Candidate,
@@ -50,7 +60,7 @@
   return commit.outcome === "committed" && wasHolder ? lease.epoch : undefined;
 }
 
-test("plans are written under rising epochs, by one holder of each", async () => {
+test("plans are written under epochs that never decrease", async () => {
   let steps = 0;
   let plans = 0;
   await fc.assert(
@@ -121,7 +131,7 @@
   assert.ok(plans > 100);
 });
 
-test("a candidate waits for the whole term without renewal", () => {
+test("a candidate waits until the whole term has passed without renewal", () => {
   const state = createLeaseState("b", 1, 0);
   const lease = { holder: "a", incarnation: 1, epoch: 4 };
   const value = JSON.stringify(lease);
@@ -134,7 +144,7 @@
   });
 });
 
-test("a new process of the same VM does not take itself for the holder", () => {
+test("a new process of the holder's VM does not consider itself the holder", () => {
   const state = createLeaseState("a", 2, 0);
   const value = JSON.stringify({ holder: "a", incarnation: 1, epoch: 4 });
   recordLease(state, { key: LEASE_KEY, version: 9, writeId: "", value }, 0);
--- a/src/steering/local_target.ts
+++ b/src/steering/local_target.ts
@@ -1,6 +1,7 @@
 /**
- * The weights that a process moves towards while no plans are made: the share of
- * lost regions goes to the live region nearest to the callers. Pure functions.
+ * The weights that a process moves towards while no plans are made: the share
+ * of lost regions goes to the live region nearest to the callers. Pure
+ * functions.
  *
  * @module
  */
--- a/src/steering/planner.ts
+++ b/src/steering/planner.ts
@@ -92,7 +92,9 @@
     if (isHolder(lease)) await storeSnapshot();
   }
 
-  /** @returns Rank of this steer among the serving steers; -1 if not among them. */
+  /**
+   * @returns Rank of this steer among the serving steers; -1 if not among them.
+   */
   function getCandidateRank(): number {
     const steers = agent.serving("steer").map((member) => ({
       id: member.id,
@@ -181,7 +183,10 @@
     }
   }
 
-  /** Applies committed rows at once, before they arrive with the table's changes. */
+  /**
+   * Applies committed rows at once, before they arrive with the table's
+   * changes.
+   */
   function applyCommittedRows(
     puts: RowPut[],
     committed: { writeId: string; version: number },
--- a/src/steering/shift.ts
+++ b/src/steering/shift.ts
@@ -1,28 +1,33 @@
 /**
  * Measures shifts of traffic between regions and budgets them under a service's
- * shift cap. Moves between failure domains of one region do not count against the
- * cap. Pure functions.
+ * shift cap. Moves between failure domains of one region do not count against
+ * the cap. Pure functions.
  *
  * @module
  */
 import type { PlanStep, RegionOf, WeightRow, Weights } from "./types.ts";
 
-/** Largest fraction of the cap that plans, written by the lease's holder, may use. */
+/**
+ * Largest fraction of the cap that plans, written by the lease's holder, may
+ * use.
+ */
 export const SHARED_CAP_FRACTION = 0.85;
 /**
  * Fraction of the cap that each process may use by itself, without a plan. It
- * applies to the process's own traffic, so all processes together stay within this
- * fraction of the whole traffic without exchanging messages. The rest of the cap
- * covers the granularity of client blocks.
+ * applies to the process's own traffic, so all processes together stay within
+ * this fraction of the whole traffic without exchanging messages. The rest of
+ * the cap covers the granularity of client blocks.
  */
 export const LOCAL_CAP_FRACTION = 0.1;
-/** Time from the writing of a plan until it takes effect, in ms. */
+/** Time from the writing of a plan until it takes effect everywhere, in ms. */
 export const PLAN_LEAD_TIME_MS = 1_500;
 /** Delay beyond which a process takes a step within its local cap, in ms. */
 export const MAX_STEP_DELAY_MS = 1_000;
 /** Largest assumed difference between two clocks, in ms. */
 export const MAX_CLOCK_SKEW_MS = 250;
-/** Longest time between the first and the last process to take a step, in ms. */
+/**
+ * Longest time between the first and the last process to take a step, in ms.
+ */
 export const MAX_STEP_SPREAD_MS = MAX_STEP_DELAY_MS + 2 * MAX_CLOCK_SKEW_MS;
 
 /** Limit on the traffic of a service that changes region within a window. */
@@ -124,10 +129,10 @@
 const MIN_SHARED_CAP_FRACTION = 0.25;
 
 /**
- * Computes the share of the traffic that plans may move within a window. Hashing
- * selects the client blocks that move, so the share that actually moves varies
- * around the planned one: for n blocks and a share s, with a standard deviation of
- * sqrt(s / n).
+ * Computes the share of the traffic that plans may move within a window.
+ * Hashing selects the client blocks that move, so the share that actually moves
+ * varies around the planned one: for n blocks and a share s, with a standard
+ * deviation of sqrt(s / n).
  *
  * @param maxShare The service's cap, as a share of its traffic.
  * @param blockCount Number of client blocks in the fleet.
@@ -146,7 +151,8 @@
 /**
  * Computes what plans may still move at a time.
  *
- * @param cap The service's cap, and the share of the traffic that plans may move.
+ * @param cap The service's cap, and the share of the traffic that plans may
+ * move.
  * @param trail Steps taken so far.
  * @param nowMs Time on the clock of the steps, in ms.
  * @returns The remaining share of the service's traffic.
@@ -156,9 +162,9 @@
   trail: readonly PlanStep[],
   nowMs: number,
 ): number {
-  const spent = listCountedSteps(trail, cap, nowMs)
+  const usedShare = listCountedSteps(trail, cap, nowMs)
     .reduce((sum, step) => sum + step.share, 0);
-  return Math.max(0, cap.sharedCap - spent);
+  return Math.max(0, cap.sharedCap - usedShare);
 }
 
 /**
@@ -181,18 +187,19 @@
 }
 
 /**
- * Interpolates between two rows. Only the regions' sums are interpolated; inside a
- * region, the weights take the target's proportions at once.
+ * Interpolates between two rows. Only the regions' sums are interpolated;
+ * inside a region, the weights take the target's proportions at once.
  *
  * @param from The row in force.
  * @param to The target row.
- * @param options The fraction to move, 0 to 1, and the failure domains' regions.
+ * @param options The fraction to move, 0 to 1, and the failure domains'
+ * regions.
  * @returns The interpolated row.
  */
 export function interpolateRow(
   from: WeightRow,
   to: WeightRow,
-  { part: fraction, regionOf }: { part: number; regionOf: RegionOf },
+  { part, regionOf }: { part: number; regionOf: RegionOf },
 ): WeightRow {
   const before = sumByRegion(from, regionOf);
   const after = sumByRegion(to, regionOf);
@@ -203,7 +210,7 @@
     const sourceSum = (source === to ? after : before)[region] ?? 0;
     const shareInRegion = sourceSum > 0 ? (source[domain] ?? 0) / sourceSum : 0;
     const targetSum = (before[region] ?? 0) +
-      fraction * ((after[region] ?? 0) - (before[region] ?? 0));
+      part * ((after[region] ?? 0) - (before[region] ?? 0));
     if (targetSum * shareInRegion > 0) row[domain] = targetSum * shareInRegion;
   }
   return row;
@@ -215,13 +222,15 @@
   budget: number;
   /** Share of the service's traffic that comes from each region. */
   demandShare: Record<string, number>;
-  /** @returns Whether a region's row moves first, as its domains can't serve it. */
+  /**
+   * @returns Whether a region's row moves first, as its domains can't serve it.
+   */
   isUrgent(region: string): boolean;
 }
 
 /**
  * Moves weights towards a target as far as a budget allows. Urgent rows use the
- * budget first; rows of one group move by the same fraction.
+ * budget first; rows of one group make the same part of their change.
  *
  * @param change The weights in force and the target.
  * @param options The budget and the urgent rows.
@@ -242,14 +251,11 @@
       (demandShare[region] ?? 0)
     );
     const total = costs.reduce((sum, cost) => sum + cost, 0);
-    const fraction = total <= remainingBudget ? 1 : remainingBudget / total;
-    remainingBudget = Math.max(0, remainingBudget - total * fraction);
+    const part = total <= remainingBudget ? 1 : remainingBudget / total;
+    remainingBudget = Math.max(0, remainingBudget - total * part);
     for (const region of group) {
       const start = from[region] ?? to[region];
-      next[region] = interpolateRow(start, to[region], {
-        part: fraction,
-        regionOf,
-      });
+      next[region] = interpolateRow(start, to[region], { part, regionOf });
     }
   }
   return next;
--- a/src/steering/shift_cap_test.ts
+++ b/src/steering/shift_cap_test.ts
@@ -28,28 +28,30 @@
   shiftCap: { maxShare: cap.maxShare, windowS: cap.windowMs / 1_000 },
 } as ServiceDocument;
 
-/** A process that decides places for a fixed part of its region's callers. */
-interface Process {
+/** A process that steers a fixed part of each region's callers. */
+interface SimulatedProcess {
   domain: string;
   follower: FollowerState;
-  /** Newest plan that it has heard of. */
+  /** Newest plan that it has received. */
   knownPlan: Plan | undefined;
-  planReceivedMs: number;
+  /** Time of its last contact with the table. */
+  lastContactMs: number;
   pausedUntilMs: number;
 }
 
-/** All that happens, for one service. */
+/** State of a simulated fleet, for one service. */
 interface Simulation {
   nowMs: number;
   /** Newest plan in the table. */
   storedPlan: Plan | undefined;
-  processes: Process[];
+  processes: SimulatedProcess[];
   lostRegions: Set<string>;
   drainedRegions: Set<string>;
   disconnectedDomains: Set<string>;
   tableDown: boolean;
   /** Clock error of the lease's holder, in ms. */
   holderSkewMs: number;
+  /** Traffic shares after each step; see `listTrafficShares`. */
   history: number[][];
 }
 
@@ -58,7 +60,7 @@
   | { kind: "cut" | "join"; domains: string[] }
   | { kind: "pause"; domains: string[]; durationMs: number }
   | { kind: "table"; down: boolean }
-  /** Another holder, whose clock is off by this much. */
+  /** Another steer takes the lease; its clock is off by `skewMs`. */
   | { kind: "holder"; skewMs: number };
 
 const region = fc.constantFrom(...REGIONS);
@@ -87,7 +89,7 @@
   { minLength: 3, maxLength: 25 },
 );
 
-/** Weights before any plan: every region for itself. */
+/** Default weights: every region serves its own callers. */
 const HOME_WEIGHTS: Weights = Object.fromEntries(
   REGIONS.map((name) => [name, { [`${name}1`]: 0.5, [`${name}2`]: 0.5 }]),
 );
@@ -100,7 +102,7 @@
       domain: name,
       follower: createFollower(HOME_WEIGHTS),
       knownPlan: undefined,
-      planReceivedMs: 0,
+      lastContactMs: 0,
       pausedUntilMs: 0,
     })),
     lostRegions: new Set(),
@@ -186,13 +188,16 @@
   simulation.history.push(listTrafficShares(simulation));
 }
 
-function updateProcess(simulation: Simulation, process: Process): void {
+function updateProcess(
+  simulation: Simulation,
+  process: SimulatedProcess,
+): void {
   if (simulation.nowMs < process.pausedUntilMs) return;
   const isConnected = !simulation.tableDown &&
     !simulation.disconnectedDomains.has(process.domain);
   if (isConnected) {
     process.knownPlan = simulation.storedPlan;
-    process.planReceivedMs = simulation.nowMs;
+    process.lastContactMs = simulation.nowMs;
   }
   const context = {
     cap,
@@ -200,7 +205,7 @@
     nowMs: simulation.nowMs,
     wallMs: START_WALL_MS + simulation.nowMs,
   };
-  if (simulation.nowMs - process.planReceivedMs < PLANNER_TIMEOUT_MS) {
+  if (simulation.nowMs - process.lastContactMs < PLANNER_TIMEOUT_MS) {
     if (process.knownPlan) {
       followPlan(process.follower, process.knownPlan, context);
     }
@@ -217,7 +222,9 @@
   moveWithinLocalCap(process.follower, target, context);
 }
 
-/** Share of each process's and region's traffic by region, flat. */
+/**
+ * Lists the shares of traffic by process, caller's region and serving region.
+ */
 function listTrafficShares({ processes }: Simulation): number[] {
   return processes.flatMap(({ follower }) =>
     REGIONS.flatMap((caller) => {
@@ -229,7 +236,9 @@
   );
 }
 
-/** Largest share of the traffic whose region changed within a window. */
+/**
+ * Finds the largest share of the traffic that changed region within a window.
+ */
 function findLargestShift({ history }: Simulation): number {
   const steps = cap.windowMs / STEP_MS;
   let largest = 0;
@@ -245,7 +254,7 @@
   return largest;
 }
 
-test("the cap holds in every window, whatever happens in between", () => {
+test("every window stays within the shift cap under random faults", () => {
   let steps = 0;
   let largest = 0;
   fc.assert(
@@ -264,10 +273,13 @@
     { seed: SEED, numRuns: 150 },
   );
   console.log(`${steps} steps; largest shift ${largest.toFixed(4)} of 0.1`);
-  assert.ok(largest > 0.05, "the runs moved too little to prove anything");
+  assert.ok(
+    largest > 0.05,
+    "the runs moved too little traffic to test the cap",
+  );
 });
 
-test("traffic does move away from a lost region, plan by plan", () => {
+test("traffic moves away from a lost region, plan by plan", () => {
   const simulation = createSimulation();
   for (let count = 0; count < 4; count++) step(simulation);
   applyEvent(simulation, { kind: "lose", region: "a" });
--- a/src/steering/shift_test.ts
+++ b/src/steering/shift_test.ts
@@ -20,7 +20,7 @@
 });
 const weights: fc.Arbitrary<Weights> = fc.record({ a: row, b: row, c: row });
 
-test("a step stays in its budget, and its rows still sum to 1", () => {
+test("a step stays within its budget, and its rows sum to 1", () => {
   fc.assert(
     fc.property(
       weights,
@@ -34,12 +34,17 @@
           demandShare,
           isUrgent: (region) => urgent.includes(region),
         });
-        const taken = measureShift({ ...change, to: next }, demandShare);
-        assert.ok(taken <= budget + 1e-9, `${taken} of ${budget}`);
-        const wanted = measureShift(change, demandShare);
-        if (wanted <= budget) assert.ok(Math.abs(taken - wanted) < 1e-9);
-        for (const one of Object.values(next)) {
-          const sum = Object.values(one).reduce((all, part) => all + part, 0);
+        const shift = measureShift({ ...change, to: next }, demandShare);
+        assert.ok(shift <= budget + 1e-9, `${shift} of ${budget}`);
+        const requiredShare = measureShift(change, demandShare);
+        if (requiredShare <= budget) {
+          assert.ok(Math.abs(shift - requiredShare) < 1e-9);
+        }
+        for (const weightRow of Object.values(next)) {
+          const sum = Object.values(weightRow).reduce(
+            (all, part) => all + part,
+            0,
+          );
           assert.ok(Math.abs(sum - 1) < 1e-9, JSON.stringify(next));
         }
       },
@@ -48,17 +53,17 @@
   );
 });
 
-test("a spent budget leaves rows that need no move as they are", () => {
+test("an exhausted budget leaves unchanged the rows that need no move", () => {
   const unchangedRow = { b1: 1 };
   const to = { a: { b1: 1 }, b: unchangedRow };
-  for (let tenths = 1; tenths < 300; tenths++) {
+  for (let thousandths = 1; thousandths < 300; thousandths++) {
     const from = { a: { a1: 0.46, b1: 0.54 }, b: unchangedRow };
     const next = stepTowards({ from, to, regionOf }, {
-      budget: tenths / 1_000,
+      budget: thousandths / 1_000,
       demandShare: { a: 0.7, b: 0.3 },
       isUrgent: (region) => region === "a",
     });
-    assert.equal(next.b, unchangedRow, `budget ${tenths / 1_000}`);
+    assert.equal(next.b, unchangedRow, `budget ${thousandths / 1_000}`);
   }
 });
 
--- a/src/steering/steering.ts
+++ b/src/steering/steering.ts
@@ -22,7 +22,10 @@
 
 /** Time between two updates of the followers, in ms. */
 const TICK_PERIOD_MS = 250;
-/** Time without a renewal of the lease after which no planner is assumed, in ms. */
+/**
+ * Time without a renewal of the lease after which the planner counts as lost,
+ * in ms.
+ */
 const PLANNER_TIMEOUT_MS = 6_000;
 
 /** The weights in force. */
@@ -44,8 +47,8 @@
 }
 
 /**
- * Starts to follow plans. Without a planner, the process moves by itself towards
- * the newest plan, with lost regions replaced.
+ * Starts to follow plans. Without a planner, the process moves by itself
+ * towards the newest plan, with lost regions replaced.
  *
  * @param options The dependencies.
  * @returns The weights in force.
--- a/src/steering/types.ts
+++ b/src/steering/types.ts
@@ -1,6 +1,6 @@
 /**
- * Plans, which say in which failure domains the traffic of each region runs, and
- * the input they are made from.
+ * Plans, which say in which failure domains the traffic of each region runs,
+ * and the input they are made from.
  *
  * @module
  */
