--- a/src/measurement/state.ts
+++ b/src/measurement/state.ts
@@ -1,26 +1,26 @@
 /**
- * Latest figures of every entry, with their age.
+ * Latest measurements of every entry, with the time of their receipt.
  *
  * @module
  */
 import type { EntryLoad, ReceivedLoad } from "./types.ts";
 
-/** By entry id. */
+/** Latest measurements by entry id. */
 export type LoadState = Map<string, ReceivedLoad>;
 
-/** Figures that did not change are sent again after this time. */
+/** Period at which unchanged measurements are sent again, in ms. */
 export const LOAD_REFRESH_MS = 2_000;
-/** Figures older than this are dropped altogether. */
-export const FORGET_AFTER_MS = 60_000;
+/** Age at which measurements are removed, in ms. */
+export const LOAD_RETENTION_MS = 60_000;
 
 /**
- * Takes in an entry's figures.
+ * Records an entry's measurements; they replace its earlier ones.
  *
  * @param state Changed in place.
- * @param load The figures.
- * @param nowMs Monotonic time, in ms.
+ * @param load The measurements.
+ * @param nowMs Monotonic time of their receipt, in ms.
  */
-export function noteLoad(
+export function recordLoad(
   state: LoadState,
   load: EntryLoad,
   nowMs: number,
@@ -29,13 +29,13 @@
 }
 
 /**
- * Drops figures that are too old to mean anything.
+ * Removes measurements older than {@link LOAD_RETENTION_MS}.
  *
  * @param state Changed in place.
  * @param nowMs Monotonic time, in ms.
  */
-export function forgetOldLoad(state: LoadState, nowMs: number): void {
+export function removeExpiredLoads(state: LoadState, nowMs: number): void {
   for (const [entryId, { receivedMs }] of state) {
-    if (nowMs - receivedMs > FORGET_AFTER_MS) state.delete(entryId);
+    if (nowMs - receivedMs > LOAD_RETENTION_MS) state.delete(entryId);
   }
 }
--- a/src/steering/assign.ts
+++ b/src/steering/assign.ts
@@ -1,50 +1,65 @@
 /**
- * Assigns demand to places: nearest first, then spill by added delay, within
- * the capacity of places and links; then exchanges that lower the total delay.
- * Pure.
+ * Assigns demand to failure domains within the capacity of regions and links: a
+ * greedy assignment in order of delay, then exchanges that lower the total
+ * delay. Pure functions.
  *
  * @module
  */
-import type { AssignInput, Place, WeightRow, Weights } from "./types.ts";
+import type {
+  AssignInput,
+  DomainCapacity,
+  WeightRow,
+  Weights,
+} from "./types.ts";
 
-/** Slots below this count as none. */
+/** Amounts of slots up to this count as 0. */
 const EPSILON_SLOTS = 1e-9;
-/** Exchanges that gain less than this, in ms, are not made. */
+/** Smallest gain for which an exchange is made, in ms or ms times slots. */
 const EPSILON_MS = 1e-6;
-/** Rounds of exchanges; each lowers the total delay. */
-const MAX_ROUNDS = 200;
+/** Limit on rounds of exchanges; each round lowers the total delay. */
+const MAX_EXCHANGE_ROUNDS = 200;
 
-/** Slots of one region's demand that run in another or the same region. */
+/**
+ * Slots of one region's demand that are served in another or the same region.
+ */
 interface Flow {
+  /** Index of the callers' region. */
   from: number;
+  /** Index of the serving region. */
   to: number;
   slots: number;
 }
 
-/** The problem by region: small arrays instead of names. */
+/** The assignment problem by region, with array indexes instead of names. */
 interface RegionProblem {
+  /** Regions with callers. */
   callers: string[];
+  /** Regions that may serve. */
   regions: string[];
-  /** Index of each place's region. */
-  placeRegion: number[];
-  /** By caller's region. */
+  /** Index of each failure domain's region. */
+  domainRegionIndex: number[];
+  /** Slots by caller's region. */
   demand: number[];
-  /** By region. */
+  /** Slots by region. */
   capacity: number[];
   /** By caller's region, then region. */
   delayMs: number[][];
+  /** By caller's region, then region. */
   linkSlots: number[][];
 }
 
 /**
- * @param input Demand, places, delays and links.
- * @returns Weights whose rows sum to 1. Demand beyond all capacity stays with
- * the nearest place, where admission refuses the excess.
+ * Assigns demand to failure domains.
+ *
+ * @param input Demand, capacities, delays and links.
+ * @returns Weights whose rows sum to 1. Demand that fits nowhere is spread like
+ * the rest of its region's, or goes to the nearest region where none fits;
+ * admission refuses the excess.
  */
 export function assign(input: AssignInput): Weights {
   const problem = makeProblem(input);
-  const flows = fillNearest(problem);
-  exchange(problem, flows);
+  const flows = assignNearestFirst(problem);
+  improveFlows(problem, flows);
   return Object.fromEntries(
     problem.callers.map((region, index) => [
       region,
@@ -55,63 +70,81 @@
 
 function makeProblem(input: AssignInput): RegionProblem {
   const callers = input.demand.map(({ region }) => region);
-  const regions = [...new Set(input.places.map(({ region }) => region))];
-  const forPairs = (value: (from: string, to: string) => number) =>
+  const regions = [
+    ...new Set(input.domainCapacities.map(({ region }) => region)),
+  ];
+  const mapPairs = (value: (from: string, to: string) => number) =>
     callers.map((from) => regions.map((to) => value(from, to)));
   const regionIndex = new Map(regions.map((name, index) => [name, index]));
   return {
     callers,
     regions,
-    placeRegion: input.places.map(({ region }) => regionIndex.get(region)!),
+    domainRegionIndex: input.domainCapacities.map(({ region }) =>
+      regionIndex.get(region)!
+    ),
     demand: input.demand.map(({ slots }) => slots),
     capacity: regions.map((region) =>
       sumOf(
-        input.places.filter((place) => place.region === region)
+        input.domainCapacities.filter((domain) => domain.region === region)
           .map(({ slots }) => slots),
       )
     ),
-    delayMs: forPairs(input.delayMs),
-    linkSlots: forPairs(input.linkSlots),
+    delayMs: mapPairs(input.delayMs),
+    linkSlots: mapPairs(input.linkSlots),
   };
 }
 
-/** @returns Slots by caller's region, then region. */
-function fillNearest(problem: RegionProblem): number[][] {
+/**
+ * Assigns demand greedily, the pairs of regions with the least delay first.
+ *
+ * @returns Slots by caller's region, then region.
+ */
+function assignNearestFirst(problem: RegionProblem): number[][] {
   const { callers, regions, delayMs, linkSlots } = problem;
   const flows = callers.map(() => regions.map(() => 0));
   const demand = [...problem.demand];
   const capacity = [...problem.capacity];
   for (const { from, to } of listPairs(problem)) {
-    const taken = Math.min(demand[from], capacity[to], linkSlots[from][to]);
-    if (taken <= EPSILON_SLOTS || !Number.isFinite(delayMs[from][to])) continue;
-    flows[from][to] = taken;
-    demand[from] -= taken;
-    capacity[to] -= taken;
+    const slots = Math.min(demand[from], capacity[to], linkSlots[from][to]);
+    if (slots <= EPSILON_SLOTS || !Number.isFinite(delayMs[from][to])) continue;
+    flows[from][to] = slots;
+    demand[from] -= slots;
+    capacity[to] -= slots;
   }
   return flows;
 }
 
-/** Pairs by delay; among equals, those with the worst second way go first. */
+/**
+ * Lists pairs of regions by increasing delay; among equals, those first whose
+ * caller's region has the greater delay to its second nearest region.
+ */
 function listPairs({ callers, regions, delayMs }: RegionProblem) {
-  const secondMs = delayMs.map((row) => [...row].sort((a, b) => a - b)[1] ?? 0);
+  const secondNearestMs = delayMs.map((row) =>
+    [...row].sort((a, b) => a - b)[1] ?? 0
+  );
   const pairs = callers.flatMap((_, from) =>
     regions.map((_region, to) => ({ from, to }))
   );
   return pairs.sort((a, b) =>
     delayMs[a.from][a.to] - delayMs[b.from][b.to] ||
-    secondMs[b.from] - secondMs[a.from] || a.from - b.from || a.to - b.to
+    secondNearestMs[b.from] - secondNearestMs[a.from] || a.from - b.from ||
+    a.to - b.to
   );
 }
 
-/** Swaps the regions of two flows, or moves a flow, while that gains. */
-function exchange(problem: RegionProblem, flows: number[][]): void {
-  for (let round = 0; round < MAX_ROUNDS; round++) {
-    const moved = moveToFree(problem, flows);
-    const swapped = swapBest(problem, flows);
+/**
+ * Moves flows to spare capacity and swaps the regions of two flows while that
+ * lowers the total delay.
+ */
+function improveFlows(problem: RegionProblem, flows: number[][]): void {
+  for (let round = 0; round < MAX_EXCHANGE_ROUNDS; round++) {
+    const moved = moveToSpareCapacity(problem, flows);
+    const swapped = applyBestSwap(problem, flows);
     if (!moved && !swapped) return;
   }
 }
 
+/** Lists the flows that are not empty. */
 function listFlows(flows: number[][]): Flow[] {
   return flows.flatMap((row, from) =>
     row.map((slots, to) => ({ from, to, slots }))
@@ -119,37 +152,50 @@
   );
 }
 
-function moveToFree(problem: RegionProblem, flows: number[][]): boolean {
+/**
+ * Moves flows to nearer regions with spare capacity.
+ *
+ * @returns Whether any flow was moved.
+ */
+function moveToSpareCapacity(
+  problem: RegionProblem,
+  flows: number[][],
+): boolean {
   const { capacity, delayMs } = problem;
-  const used = capacity.map((_, to) => sumOf(flows.map((row) => row[to])));
+  const usedSlots = capacity.map((_, to) => sumOf(flows.map((row) => row[to])));
   let moved = false;
   for (const { from, to } of listFlows(flows)) {
     for (let other = 0; other < capacity.length; other++) {
       const gainMs = delayMs[from][to] - delayMs[from][other];
       if (gainMs <= EPSILON_MS) continue;
-      const room = Math.min(
-        capacity[other] - used[other],
-        freeLink(problem, flows, from, other),
+      const spareSlots = Math.min(
+        capacity[other] - usedSlots[other],
+        getSpareLinkSlots(problem, flows, from, other),
       );
-      const slots = Math.min(flows[from][to], room);
+      const slots = Math.min(flows[from][to], spareSlots);
       if (slots <= EPSILON_SLOTS) continue;
       flows[from][to] -= slots;
       flows[from][other] += slots;
-      used[to] -= slots;
-      used[other] += slots;
+      usedSlots[to] -= slots;
+      usedSlots[other] += slots;
       moved = true;
     }
   }
   return moved;
 }
 
-function swapBest(problem: RegionProblem, flows: number[][]): boolean {
+/**
+ * Swaps the regions of the two flows whose swap lowers the total delay most.
+ *
+ * @returns Whether a swap was made.
+ */
+function applyBestSwap(problem: RegionProblem, flows: number[][]): boolean {
   const { delayMs } = problem;
-  const used = listFlows(flows);
+  const activeFlows = listFlows(flows);
   let best: { a: Flow; b: Flow; slots: number } | undefined;
   let bestGain = EPSILON_MS;
-  for (const a of used) {
-    for (const b of used) {
+  for (const a of activeFlows) {
+    for (const b of activeFlows) {
       if (a.from === b.from || a.to === b.to) continue;
       const gainMs = delayMs[a.from][a.to] + delayMs[b.from][b.to] -
         delayMs[a.from][b.to] - delayMs[b.from][a.to];
@@ -157,8 +203,8 @@
       const slots = Math.min(
         a.slots,
         b.slots,
-        freeLink(problem, flows, a.from, b.to),
-        freeLink(problem, flows, b.from, a.to),
+        getSpareLinkSlots(problem, flows, a.from, b.to),
+        getSpareLinkSlots(problem, flows, b.from, a.to),
       );
       if (slots <= EPSILON_SLOTS || gainMs * slots <= bestGain) continue;
       best = { a, b, slots };
@@ -174,7 +220,7 @@
   return true;
 }
 
-function freeLink(
+function getSpareLinkSlots(
   { linkSlots }: RegionProblem,
   flows: number[][],
   from: number,
@@ -183,81 +229,99 @@
   return linkSlots[from][to] - flows[from][to];
 }
 
-/** Inside a region, failure domains share by their slots. */
+/**
+ * Builds a row; inside a region, weights are proportional to the domains'
+ * slots.
+ */
 function makeRow(
   input: AssignInput,
-  { placeRegion, capacity }: RegionProblem,
+  { domainRegionIndex, capacity }: RegionProblem,
   flow: number[],
   caller: string,
 ): WeightRow {
   const total = sumOf(flow);
   if (total <= EPSILON_SLOTS) return makeNearestRow(input, caller);
   const row: WeightRow = {};
-  input.places.forEach((place, number) => {
-    const index = placeRegion[number];
-    if (flow[index] <= EPSILON_SLOTS || place.slots <= 0) return;
-    const share = place.slots / capacity[index];
-    row[place.failureDomain] = flow[index] / total * share;
+  input.domainCapacities.forEach((domain, number) => {
+    const index = domainRegionIndex[number];
+    if (flow[index] <= EPSILON_SLOTS || domain.slots <= 0) return;
+    const share = domain.slots / capacity[index];
+    row[domain.failureDomain] = flow[index] / total * share;
   });
   return row;
 }
 
-/** Without demand or capacity, callers belong to the nearest usable region. */
+/**
+ * Builds the row of callers without any flow: all traffic goes to the nearest
+ * region with capacity, or to the nearest one where none has any.
+ */
 function makeNearestRow(input: AssignInput, from: string): WeightRow {
-  const usable = input.places.filter((place) => place.slots > EPSILON_SLOTS);
-  const places = usable.length > 0 ? usable : input.places;
-  const delayOf = (place: Place) => input.delayMs(from, place.region);
-  const nearestMs = Math.min(...places.map(delayOf));
-  const nearest = places.filter((place) => delayOf(place) === nearestMs);
-  const slots = sumOf(nearest.map((place) => place.slots));
+  const usable = input.domainCapacities.filter((domain) =>
+    domain.slots > EPSILON_SLOTS
+  );
+  const candidates = usable.length > 0 ? usable : input.domainCapacities;
+  const getDelayMs = (domain: DomainCapacity) =>
+    input.delayMs(from, domain.region);
+  const nearestMs = Math.min(...candidates.map(getDelayMs));
+  const nearest = candidates.filter((domain) =>
+    getDelayMs(domain) === nearestMs
+  );
+  const slots = sumOf(nearest.map((domain) => domain.slots));
   return Object.fromEntries(
-    nearest.map((place) => [
-      place.failureDomain,
-      slots > 0 ? place.slots / slots : 1 / nearest.length,
+    nearest.map((domain) => [
+      domain.failureDomain,
+      slots > 0 ? domain.slots / slots : 1 / nearest.length,
     ]),
   );
 }
 
-/** What a plan would do to places. */
-export interface PlanEffect {
+/** Delay and utilization that weights would cause. */
+export interface WeightAssessment {
   /** Mean one-way delay of the demand, in ms. */
   meanDelayMs: number;
-  /** Largest share of a place's slots that is used; Infinity for a place with none. */
-  highestUse: number;
+  /**
+   * Highest utilization of a failure domain, as a share of its slots; Infinity
+   * where one without slots gets traffic.
+   */
+  maxUtilization: number;
 }
 
 /**
- * Judges weights under given inputs.
+ * Computes the delay and utilization that weights would cause.
  *
- * @param input Demand, places and delays.
- * @param weights The weights to judge.
- * @returns Their effect.
+ * @param input Demand, capacities and delays.
+ * @param weights The weights to assess.
+ * @returns The assessment.
  */
-export function judgeWeights(input: AssignInput, weights: Weights): PlanEffect {
-  const places = new Map(
-    input.places.map((place) => [place.failureDomain, place]),
+export function assessWeights(
+  input: AssignInput,
+  weights: Weights,
+): WeightAssessment {
+  const capacities = new Map(
+    input.domainCapacities.map((domain) => [domain.failureDomain, domain]),
   );
-  const used = new Map<string, number>();
+  const usedSlots = new Map<string, number>();
   let delaySum = 0;
   let demandSum = 0;
   for (const { region, slots } of input.demand) {
     demandSum += slots;
     for (const [domain, weight] of Object.entries(weights[region] ?? {})) {
-      const place = places.get(domain);
+      const domainCapacity = capacities.get(domain);
       if (weight <= 0) continue;
-      used.set(domain, (used.get(domain) ?? 0) + slots * weight);
-      if (place) {
-        delaySum += slots * weight * input.delayMs(region, place.region);
+      usedSlots.set(domain, (usedSlots.get(domain) ?? 0) + slots * weight);
+      if (domainCapacity) {
+        delaySum += slots * weight *
+          input.delayMs(region, domainCapacity.region);
       }
     }
   }
-  const uses = [...used].map(([domain, slots]) => {
-    const capacity = places.get(domain)?.slots ?? 0;
+  const utilizations = [...usedSlots].map(([domain, slots]) => {
+    const capacity = capacities.get(domain)?.slots ?? 0;
     return capacity > 0 ? slots / capacity : Infinity;
   });
   return {
     meanDelayMs: demandSum > 0 ? delaySum / demandSum : 0,
-    highestUse: Math.max(0, ...uses),
+    maxUtilization: Math.max(0, ...utilizations),
   };
 }
 
--- a/src/steering/decide.ts
+++ b/src/steering/decide.ts
@@ -1,52 +1,60 @@
 /**
- * Decides a service's next plan. A plan that is good enough is kept. Pure.
+ * Decides on a service's next plan. A plan close to the best one is kept, since
+ * each change uses up part of the shift cap. Pure functions.
  *
  * @module
  */
 import type { ServiceDocument } from "../config/schema.ts";
-import { assign, judgeWeights } from "./assign.ts";
+import { assessWeights, assign } from "./assign.ts";
 import type { Estimate } from "./estimate.ts";
 import {
-  getSharedBudget,
-  getSharedShare,
-  keepRecent,
-  LEAD_MS,
+  getRemainingBudget,
+  getSharedCap,
+  listCountedSteps,
   measureShift,
+  PLAN_LEAD_TIME_MS,
   type ShiftCap,
   stepTowards,
 } from "./shift.ts";
 import type { AssignInput, Plan, RegionOf, Weights } from "./types.ts";
 
-/** Added delay that is not worth a move, in ms and as a share. */
+/** Added delay that is tolerated rather than move traffic, in ms. */
 const TOLERATED_DELAY_MS = 0.5;
+/** The same, as a share of the delay of the best weights. */
 const TOLERATED_DELAY_SHARE = 0.05;
-/** Excess use that is not worth a move. */
-const TOLERATED_USE = 0.02;
-/** A step smaller than this part of the shared budget waits for more. */
-const SMALLEST_STEP = 0.25;
-/** Differences below this are none. */
+/**
+ * Excess utilization that is tolerated rather than move traffic, as a share.
+ */
+const TOLERATED_EXCESS_UTILIZATION = 0.02;
+/**
+ * While less than this fraction of the shared cap is left, partial steps wait.
+ */
+const MIN_STEP_FRACTION = 0.25;
+/** Shares and weights that differ by less than this count as equal. */
 const EPSILON = 1e-6;
 
-/** What a decision is made from. */
+/** Input of a decision. */
 export interface DecideInput {
   document: ServiceDocument;
   /** The plan in force, if any. */
   current: Plan | undefined;
-  /** Weights that processes act on before any plan. */
-  defaults: Weights;
+  /** Weights that processes use before any plan. */
+  defaultWeights: Weights;
   estimate: Estimate;
   regionOf: RegionOf;
-  /** Client blocks of the fleet. */
+  /** Number of client blocks in the fleet. */
   blockCount: number;
-  /** Epoch of the lease held. */
+  /** Epoch of the lease that this steer holds. */
   epoch: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
 /**
- * @param document A service's document.
- * @returns Its cap.
+ * Reads the shift cap of a service.
+ *
+ * @param document The service's document.
+ * @returns The cap, with its window in ms.
  */
 export function getShiftCap(document: ServiceDocument): ShiftCap {
   const { maxShare, windowS } = document.shiftCap;
@@ -54,46 +62,52 @@
 }
 
 /**
- * @param input See there.
- * @returns The plan to write, or undefined where the one in force is kept.
+ * Decides on a service's next plan. The first plan is made of the default
+ * weights.
+ *
+ * @param input The plan in force, the estimated load and the time.
+ * @returns The plan to write, or undefined where the current one is kept: it
+ * has not taken effect yet, it is acceptable, or the budget allows no useful
+ * step.
  */
 export function decidePlan(input: DecideInput): Plan | undefined {
   const { current, estimate, document } = input;
-  if (current === undefined) return makePlan(input, input.defaults, 0);
+  if (current === undefined) return makePlan(input, input.defaultWeights, 0);
   if (input.wallMs < current.effectiveAtMs) return undefined;
   const target = assign(estimate.input);
-  if (isGoodEnough(estimate.input, current.weights, target)) return undefined;
+  if (isAcceptable(estimate.input, current.weights, target)) return undefined;
   const change = {
     from: current.weights,
     to: target,
     regionOf: input.regionOf,
   };
   const cap = getShiftCap(document);
-  const sharedShare = getSharedShare(cap.maxShare, input.blockCount);
-  const budget = getSharedBudget(
-    { ...cap, sharedShare },
+  const sharedCap = getSharedCap(cap.maxShare, input.blockCount);
+  const budget = getRemainingBudget(
+    { ...cap, sharedCap },
     current.trail,
-    input.wallMs + LEAD_MS,
+    input.wallMs + PLAN_LEAD_TIME_MS,
   );
-  const wanted = measureShift(change, estimate.demandShare);
-  const smallest = sharedShare * SMALLEST_STEP;
-  if (wanted > budget && budget < smallest) return undefined;
+  const requiredShare = measureShift(change, estimate.demandShare);
+  const minBudget = sharedCap * MIN_STEP_FRACTION;
+  if (requiredShare > budget && budget < minBudget) return undefined;
   const next = stepTowards(change, {
     budget,
     demandShare: estimate.demandShare,
-    isUrgent: (region) => leavesDeadPlace(estimate.input, current, region),
+    isUrgent: (region) =>
+      usesUnavailableDomain(estimate.input, current, region),
   });
   const share = measureShift({ ...change, to: next }, estimate.demandShare);
-  if (share < EPSILON && isSame(current.weights, next)) return undefined;
+  if (share < EPSILON && areEqual(current.weights, next)) return undefined;
   return makePlan(input, next, share);
 }
 
 function makePlan(input: DecideInput, weights: Weights, share: number): Plan {
   const { document, current, estimate, epoch, wallMs } = input;
   const number = (current?.number ?? 0) + 1;
-  const effectiveAtMs = wallMs + LEAD_MS;
+  const effectiveAtMs = wallMs + PLAN_LEAD_TIME_MS;
   const cap = getShiftCap(document);
-  const trail = keepRecent(current?.trail ?? [], cap, wallMs);
+  const trail = listCountedSteps(current?.trail ?? [], cap, wallMs);
   return {
     service: document.service,
     number,
@@ -105,7 +119,8 @@
   };
 }
 
-function isGoodEnough(
+/** Whether the current weights are within tolerance of the target's effect. */
+function isAcceptable(
   input: AssignInput,
   current: Weights,
   target: Weights,
@@ -113,26 +128,30 @@
   if (input.demand.some(({ region }) => current[region] === undefined)) {
     return false;
   }
-  const now = judgeWeights(input, current);
-  const best = judgeWeights(input, target);
-  const allowedUse = Math.max(1, best.highestUse) + TOLERATED_USE;
-  const allowedDelayMs = best.meanDelayMs * (1 + TOLERATED_DELAY_SHARE) +
+  const currentAssessment = assessWeights(input, current);
+  const targetAssessment = assessWeights(input, target);
+  const allowedUtilization = Math.max(1, targetAssessment.maxUtilization) +
+    TOLERATED_EXCESS_UTILIZATION;
+  const allowedDelayMs =
+    targetAssessment.meanDelayMs * (1 + TOLERATED_DELAY_SHARE) +
     TOLERATED_DELAY_MS;
-  return now.highestUse <= allowedUse && now.meanDelayMs <= allowedDelayMs;
+  return currentAssessment.maxUtilization <= allowedUtilization &&
+    currentAssessment.meanDelayMs <= allowedDelayMs;
 }
 
-function leavesDeadPlace(
+/** Whether a region's callers are sent to a failure domain without slots. */
+function usesUnavailableDomain(
   input: AssignInput,
   current: Plan,
   region: string,
 ): boolean {
   const row = current.weights[region] ?? {};
-  return input.places.some((place) =>
-    place.slots === 0 && (row[place.failureDomain] ?? 0) > 0
+  return input.domainCapacities.some((domain) =>
+    domain.slots === 0 && (row[domain.failureDomain] ?? 0) > 0
   );
 }
 
-function isSame(a: Weights, b: Weights): boolean {
+function areEqual(a: Weights, b: Weights): boolean {
   return Object.entries(b).every(([region, row]) => {
     const other = a[region] ?? {};
     const domains = new Set([...Object.keys(row), ...Object.keys(other)]);
--- a/src/steering/estimate.ts
+++ b/src/steering/estimate.ts
@@ -1,7 +1,7 @@
 /**
- * Turns measurements of any age into what a plan is made from. Old or missing
- * numbers widen the reserve and fall back on what the documents declare; they
- * never read as no load and never stop a decision. Pure.
+ * Estimates demand and capacity from measurements of any age. Old or missing
+ * measurements increase the reserve and fall back on the declared values; they
+ * are never taken for zero load and never block a decision. Pure functions.
  *
  * @module
  */
@@ -13,80 +13,97 @@
 import { isDomainDrained, isServerDrained } from "../draining/logic.ts";
 import { LOAD_REFRESH_MS, type LoadState } from "../measurement/state.ts";
 import type { ServiceLoad } from "../measurement/types.ts";
-import type { AssignInput, CallerDemand, Place, RegionOf } from "./types.ts";
+import type {
+  AssignInput,
+  CallerDemand,
+  DomainCapacity,
+  RegionOf,
+} from "./types.ts";
 
-/** Figures younger than this count in full. */
-const FRESH_MS = 2 * LOAD_REFRESH_MS;
-/** Reserve added for each second of age beyond that. */
-const RESERVE_PER_S = 0.02;
-const MAX_AGE_RESERVE = 0.3;
-/** Part of a link that plans may fill. */
-const LINK_FILL = 0.85;
-/** Demand of a region that nothing is known of, in requests a second. */
-const UNKNOWN_REQUESTS_PER_S = 1;
+/** Age up to which measurements need no extra reserve, in ms. */
+const FRESH_LOAD_AGE_MS = 2 * LOAD_REFRESH_MS;
+/** Reserve added per second of further age, as a share of the slots. */
+const RESERVE_SHARE_PER_S = 0.02;
+/** Limit on the reserve added for age, as a share of the slots. */
+const MAX_AGE_RESERVE_SHARE = 0.3;
+/** Share of a link's limit that plans may use. */
+const MAX_LINK_FILL_SHARE = 0.85;
+/**
+ * Demand of a region without declared or measured demand, in requests a second.
+ */
+const FALLBACK_REQUESTS_PER_S = 1;
+/** Size of a request and its answer until it is measured, in bytes. */
 const DEFAULT_BYTES_PER_REQUEST = 2_000;
 
-/** What is known at the time of a decision. */
+/** What a steer knows at the time of a decision. */
 export interface EstimateInput {
   document: ServiceDocument;
   fleet: FleetDocument;
   regionOf: RegionOf;
   loads: LoadState;
-  /** Failure domains with an entry that looks alive. */
+  /** Failure domains with an entry that this steer considers alive. */
   aliveDomains: ReadonlySet<string>;
-  /** Backend servers that the platform says are leaving. */
+  /** Ids of backend servers that the platform reports as leaving. */
   leavingServers: ReadonlySet<string>;
-  /** Services that share the links. */
+  /** Number of services that share the links. */
   serviceCount: number;
   /** Monotonic time, in ms. */
   nowMs: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
-/** What a plan is made from, and each region's share of the demand. */
+/** Estimated demand and capacity of a service. */
 export interface Estimate {
   input: AssignInput;
+  /** Share of the service's demand that comes from each region. */
   demandShare: Record<RegionName, number>;
 }
 
-interface Report {
+/** One entry's measurements of the service. */
+interface LoadReport {
+  /** The entry's failure domain. */
   domain: string;
   load: ServiceLoad;
   ageMs: number;
 }
 
 /**
- * @param known What is known.
+ * Estimates a service's demand and capacity.
+ *
+ * @param input What the steer knows.
  * @returns The estimate.
  */
-export function estimate(known: EstimateInput): Estimate {
-  const reports = listReports(known);
-  const serviceMs = estimateServiceMs(known, reports);
-  const demand = estimateDemand(known, reports, serviceMs);
+export function estimate(input: EstimateInput): Estimate {
+  const reports = listReports(input);
+  const serviceMs = estimateServiceMs(input, reports);
+  const demand = estimateDemand(input, reports, serviceMs);
   const total = demand.reduce((sum, { slots }) => sum + slots, 0);
   const demandShare = Object.fromEntries(
     demand.map(({ region, slots }) => [region, total > 0 ? slots / total : 0]),
   );
-  const bytes = estimateBytes(reports);
+  const bytesPerRequest = estimateBytesPerRequest(reports);
   return {
     demandShare,
     input: {
       demand,
-      places: estimatePlaces(known, reports),
-      delayMs: (from, to) => getDelayMs(known.fleet, from, to),
+      domainCapacities: estimateDomainCapacities(input, reports),
+      delayMs: (from, to) => getDelayMs(input.fleet, from, to),
       linkSlots(from, to) {
         if (from === to) return Infinity;
-        const link = findLink(known.fleet, from, to);
+        const link = findLink(input.fleet, from, to);
         if (link === undefined) return 0;
-        const share = link.limitBytesPerS * LINK_FILL / known.serviceCount;
-        return share / bytes * serviceMs / 1_000;
+        const bytesPerS = link.limitBytesPerS * MAX_LINK_FILL_SHARE /
+          input.serviceCount;
+        return bytesPerS / bytesPerRequest * serviceMs / 1_000;
       },
     },
   };
 }
 
 /**
+ * Looks up the delay between two regions.
+ *
  * @param fleet The fleet's document.
  * @param from A region.
  * @param to Another or the same region.
@@ -102,17 +119,20 @@
 }
 
 /**
+ * Finds the link between two regions.
+ *
  * @param fleet The fleet's document.
- * @param from Sending region.
- * @param to Running region.
- * @returns The link between them, if declared in either direction.
+ * @param from The callers' region.
+ * @param to The serving region.
+ * @returns The link declared in this direction, else in the other; undefined
+ * where there is none.
  */
 export function findLink(fleet: FleetDocument, from: string, to: string) {
   return fleet.links.find((link) => link.from === from && link.to === to) ??
     fleet.links.find((link) => link.from === to && link.to === from);
 }
 
-function listReports({ document, loads, nowMs }: EstimateInput): Report[] {
+function listReports({ document, loads, nowMs }: EstimateInput): LoadReport[] {
   return [...loads.values()].flatMap(({ load, receivedMs }) =>
     load.services
       .filter(({ service }) => service === document.service)
@@ -124,102 +144,120 @@
   );
 }
 
+/** Mean of the measured service times, weighted by the requests in flight. */
 function estimateServiceMs(
   { document }: EstimateInput,
-  reports: readonly Report[],
+  reports: readonly LoadReport[],
 ): number {
-  const seen = reports.filter(({ load }) => load.serviceMs > 0);
-  if (seen.length === 0) return document.expectedServiceMs;
-  const weightOf = ({ load }: Report) => load.inFlight + 1;
-  const weights = seen.reduce((sum, report) => sum + weightOf(report), 0);
-  return seen.reduce(
+  const measuredReports = reports.filter(({ load }) => load.serviceMs > 0);
+  if (measuredReports.length === 0) return document.expectedServiceMs;
+  const weightOf = ({ load }: LoadReport) => load.inFlight + 1;
+  const weights = measuredReports.reduce(
+    (sum, report) => sum + weightOf(report),
+    0,
+  );
+  return measuredReports.reduce(
     (sum, report) => sum + report.load.serviceMs * weightOf(report) / weights,
     0,
   );
 }
 
 function estimateDemand(
-  known: EstimateInput,
-  reports: readonly Report[],
+  input: EstimateInput,
+  reports: readonly LoadReport[],
   serviceMs: number,
 ): CallerDemand[] {
-  return known.fleet.regions.map(({ name }) => {
-    const requestsPerS = estimateRequests(known, reports, name);
+  return input.fleet.regions.map(({ name }) => {
+    const requestsPerS = estimateRequestsPerS(input, reports, name);
     return { region: name, slots: requestsPerS * serviceMs / 1_000 };
   });
 }
 
-function estimateRequests(
+function estimateRequestsPerS(
   { document, aliveDomains }: EstimateInput,
-  reports: readonly Report[],
+  reports: readonly LoadReport[],
   region: string,
 ): number {
   const declared = document.expectedRequestsPerS[region] ??
-    UNKNOWN_REQUESTS_PER_S;
-  const fresh = new Set(
-    reports.filter(({ ageMs }) => ageMs <= FRESH_MS)
+    FALLBACK_REQUESTS_PER_S;
+  const freshDomains = new Set(
+    reports.filter(({ ageMs }) => ageMs <= FRESH_LOAD_AGE_MS)
       .map(({ domain }) => domain),
   );
-  // What a silent domain's entries carry is not known, so it is not nothing.
-  const isComplete = [...aliveDomains].every((domain) => fresh.has(domain));
-  const seen = reports.flatMap(({ load }) => load.arrivals)
+  // A live domain without fresh measurements may carry any load, so the sum of
+  // the others alone is too low.
+  const isComplete = [...aliveDomains].every((domain) =>
+    freshDomains.has(domain)
+  );
+  const measuredPerS = reports.flatMap(({ load }) => load.arrivals)
     .filter((arrivals) => arrivals.region === region)
     .reduce((sum, { requestsPerS }) => sum + requestsPerS, 0);
-  if (!isComplete) return Math.max(seen, declared);
-  return Math.max(seen, UNKNOWN_REQUESTS_PER_S);
+  if (!isComplete) return Math.max(measuredPerS, declared);
+  return Math.max(measuredPerS, FALLBACK_REQUESTS_PER_S);
 }
 
-function estimateBytes(reports: readonly Report[]): number {
-  const seen = reports.map(({ load }) => load.bytesPerRequest)
+function estimateBytesPerRequest(reports: readonly LoadReport[]): number {
+  const measuredBytes = reports.map(({ load }) => load.bytesPerRequest)
     .filter((bytes) => bytes > 0);
-  if (seen.length === 0) return DEFAULT_BYTES_PER_REQUEST;
-  return seen.reduce((sum, bytes) => sum + bytes, 0) / seen.length;
+  if (measuredBytes.length === 0) return DEFAULT_BYTES_PER_REQUEST;
+  return measuredBytes.reduce((sum, bytes) => sum + bytes, 0) /
+    measuredBytes.length;
 }
 
-function estimatePlaces(
-  known: EstimateInput,
-  reports: readonly Report[],
-): Place[] {
+function estimateDomainCapacities(
+  input: EstimateInput,
+  reports: readonly LoadReport[],
+): DomainCapacity[] {
   const domains = new Set(
-    known.document.backendServers.map((server) => server.failureDomain),
+    input.document.backendServers.map((server) => server.failureDomain),
   );
   return [...domains].map((failureDomain) => ({
     failureDomain,
-    region: known.regionOf.get(failureDomain) ?? failureDomain,
-    slots: estimateSlots(known, reports, failureDomain),
+    region: input.regionOf.get(failureDomain) ?? failureDomain,
+    slots: estimateSlots(input, reports, failureDomain),
   }));
 }
 
 function estimateSlots(
-  known: EstimateInput,
-  reports: readonly Report[],
+  input: EstimateInput,
+  reports: readonly LoadReport[],
   domain: string,
 ): number {
-  const { document, aliveDomains, leavingServers } = known;
+  const { document, aliveDomains, leavingServers } = input;
   if (!aliveDomains.has(domain)) return 0;
-  if (isDomainDrained(document, domain, known)) return 0;
+  if (isDomainDrained(document, domain, input)) return 0;
   const declared = document.backendServers
     .filter((server) =>
       server.failureDomain === domain && !leavingServers.has(server.id) &&
-      !isServerDrained(document, server, known)
+      !isServerDrained(document, server, input)
     )
     .reduce((sum, { slots }) => sum + slots, 0);
-  const own = reports.filter((report) => report.domain === domain);
-  const reported = own.reduce((sum, { load }) => sum + load.usableSlots, 0);
-  const slots = own.length > 0 ? Math.min(declared, reported) : declared;
-  const ageMs = own.length > 0
-    ? Math.max(...own.map((report) => report.ageMs))
+  const domainReports = reports.filter((report) => report.domain === domain);
+  const reported = domainReports.reduce(
+    (sum, { load }) => sum + load.usableSlots,
+    0,
+  );
+  const slots = domainReports.length > 0
+    ? Math.min(declared, reported)
+    : declared;
+  const ageMs = domainReports.length > 0
+    ? Math.max(...domainReports.map((report) => report.ageMs))
     : Infinity;
-  return slots * (1 - getReserve(document.headroomShare, ageMs));
+  return slots * (1 - getReserveShare(document.headroomShare, ageMs));
 }
 
 /**
- * @param headroomShare Reserve that the document asks for.
- * @param ageMs Age of the oldest figure used, in ms.
- * @returns Share of the slots that plans leave free.
+ * Computes the share of the slots that plans leave free.
+ *
+ * @param headroomShare Reserve that the document requires, as a share.
+ * @param ageMs Age of the oldest measurement used, in ms; Infinity without any.
+ * @returns The reserve, as a share of the slots, at most 0.9.
  */
-export function getReserve(headroomShare: number, ageMs: number): number {
-  const lateS = Math.max(0, ageMs - FRESH_MS) / 1_000;
-  const forAge = Math.min(MAX_AGE_RESERVE, lateS * RESERVE_PER_S);
-  return Math.min(0.9, headroomShare + forAge);
+export function getReserveShare(headroomShare: number, ageMs: number): number {
+  const excessAgeS = Math.max(0, ageMs - FRESH_LOAD_AGE_MS) / 1_000;
+  const ageReserveShare = Math.min(
+    MAX_AGE_RESERVE_SHARE,
+    excessAgeS * RESERVE_SHARE_PER_S,
+  );
+  return Math.min(0.9, headroomShare + ageReserveShare);
 }
--- a/src/steering/follower.ts
+++ b/src/steering/follower.ts
@@ -1,63 +1,69 @@
 /**
- * The weights that a process acts on. It follows plans step by step; where it
- * missed steps, or no plan can reach it, it moves by its own part of the cap.
- * Pure.
+ * The weights that a process uses. A process follows plans step by step; where
+ * it missed steps or receives no plans, it moves within its local part of the
+ * shift cap. Pure functions, which change only the state passed in.
  *
  * @module
  */
 import {
   interpolateRow,
-  keepRecent,
-  LATENESS_MS,
-  LOCAL_PART,
+  listCountedSteps,
+  LOCAL_CAP_FRACTION,
+  MAX_STEP_DELAY_MS,
   measureLargestRowShift,
   measureRowShift,
   type ShiftCap,
 } from "./shift.ts";
 import type { Plan, RegionOf, Weights } from "./types.ts";
 
-/** A move made by a process's own part of the cap. */
+/** A move made within the local cap. */
 interface LocalMove {
   /** Monotonic time, in ms. */
   atMs: number;
-  /** Largest share of a region's traffic moved. */
+  /** Largest share of one region's traffic that changed region. */
   share: number;
 }
 
-/** What a process acts on for one service. */
+/** The weights that a process uses for one service, and their origin. */
 export interface FollowerState {
+  /** Weights in force. */
   weights: Weights;
-  /** Number of the plan last followed in full; 0 before any. */
+  /** Number of the plan last reached in full; 0 before any. */
   number: number;
   /** Whether `weights` are those of plan `number`. */
   inStep: boolean;
+  /** Moves that count against the local cap. */
   moves: LocalMove[];
 }
 
-/** Time and cap at a step. */
+/** Cap, regions and time at a step. */
 export interface FollowContext {
   cap: ShiftCap;
   regionOf: RegionOf;
   /** Monotonic time, in ms. */
   nowMs: number;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
 }
 
 /**
- * @param weights Weights to act on before any plan is known.
- * @returns The state at start.
+ * Creates a follower.
+ *
+ * @param weights Weights to use until a plan is known.
+ * @returns The initial state.
  */
 export function createFollower(weights: Weights): FollowerState {
   return { weights, number: 0, inStep: true, moves: [] };
 }
 
 /**
- * Follows a plan.
+ * Follows a plan. The first plan is adopted at once, and one that the process
+ * can take in step with the others when it takes effect; towards any other plan
+ * the process moves within its local cap.
  *
  * @param state Changed in place.
  * @param plan The newest plan known.
- * @param context Time and cap.
+ * @param context Cap, regions and time.
  */
 export function followPlan(
   state: FollowerState,
@@ -66,27 +72,30 @@
 ): void {
   if (plan.number < state.number) return;
   if (state.inStep && plan.number === state.number) return;
-  if (state.number === 0 || isNextStep(state, plan, context)) {
+  if (state.number === 0 || hasAllStepsOnTime(state, plan, context)) {
     if (state.number > 0 && context.wallMs < plan.effectiveAtMs) return;
     state.weights = plan.weights;
     state.number = plan.number;
     state.inStep = true;
     return;
   }
-  walkTowards(state, plan.weights, context);
-  const reached = measureLargestRowShift({
+  moveWithinLocalCap(state, plan.weights, context);
+  const remainingShift = measureLargestRowShift({
     from: state.weights,
     to: plan.weights,
     regionOf: context.regionOf,
   });
-  if (reached > 1e-9) return;
+  if (remainingShift > 1e-9) return;
   state.weights = plan.weights;
   state.number = plan.number;
   state.inStep = true;
 }
 
-/** All steps since the one in force are in the trail, and none is late. */
-function isNextStep(
+/**
+ * Whether all steps since the plan in force are in the trail, and none that
+ * moves traffic is too late.
+ */
+function hasAllStepsOnTime(
   state: FollowerState,
   plan: Plan,
   { wallMs }: FollowContext,
@@ -96,35 +105,35 @@
   const complete = missing.length === plan.number - state.number;
   return complete &&
     missing.every((step) =>
-      step.share === 0 || wallMs - step.atMs <= LATENESS_MS
+      step.share === 0 || wallMs - step.atMs <= MAX_STEP_DELAY_MS
     );
 }
 
 /**
- * Moves by the process's own part of the cap.
+ * Moves weights towards a target within the local cap.
  *
  * @param state Changed in place; no longer in step with a plan.
- * @param target Weights wanted.
- * @param context Time and cap.
+ * @param target The target weights.
+ * @param context Cap, regions and time.
  */
-export function walkTowards(
+export function moveWithinLocalCap(
   state: FollowerState,
   target: Weights,
   { cap, regionOf, nowMs }: FollowContext,
 ): void {
-  state.moves = keepRecent(state.moves, cap, nowMs);
-  const spent = state.moves.reduce((sum, move) => sum + move.share, 0);
-  const budget = Math.max(0, cap.maxShare * LOCAL_PART - spent);
+  state.moves = listCountedSteps(state.moves, cap, nowMs);
+  const usedShare = state.moves.reduce((sum, move) => sum + move.share, 0);
+  const budget = Math.max(0, cap.maxShare * LOCAL_CAP_FRACTION - usedShare);
   const next: Weights = {};
-  let largest = 0;
-  for (const [region, wanted] of Object.entries(target)) {
-    const start = state.weights[region] ?? wanted;
-    const distance = measureRowShift(start, wanted, regionOf);
-    const part = distance <= budget ? 1 : budget / distance;
-    next[region] = interpolateRow(start, wanted, { part, regionOf });
-    largest = Math.max(largest, distance * part);
+  let largestShift = 0;
+  for (const [region, targetRow] of Object.entries(target)) {
+    const startRow = state.weights[region] ?? targetRow;
+    const shift = measureRowShift(startRow, targetRow, regionOf);
+    const part = shift <= budget ? 1 : budget / shift;
+    next[region] = interpolateRow(startRow, targetRow, { part, regionOf });
+    largestShift = Math.max(largestShift, shift * part);
   }
   state.inStep = false;
   state.weights = next;
-  if (largest > 0) state.moves.push({ atMs: nowMs, share: largest });
+  if (largestShift > 0) state.moves.push({ atMs: nowMs, share: largestShift });
 }
--- a/src/steering/plan_rows.ts
+++ b/src/steering/plan_rows.ts
@@ -6,19 +6,21 @@
 import type { Row } from "../platform/types.ts";
 import { type Plan, planSchema } from "./types.ts";
 
-/** Plans by their row, which never changes once it is made. */
-const parsed = new WeakMap<Row, Plan>();
+/** Parsed plans by row; a row object is never modified. */
+const planCache = new WeakMap<Row, Plan>();
 
 /**
- * @param row A plan's row, if known.
- * @returns The plan, or undefined where there is none or it is malformed.
+ * Parses a plan, once per row object.
+ *
+ * @param row The row that stores the plan, if known.
+ * @returns The plan, or undefined where the row is absent or malformed.
  */
 export function readPlan(row: Row | undefined): Plan | undefined {
   if (row === undefined || row.version === 0) return undefined;
-  const known = parsed.get(row);
-  if (known) return known;
+  const cachedPlan = planCache.get(row);
+  if (cachedPlan) return cachedPlan;
   const plan = parsePlan(row.value);
-  if (plan) parsed.set(row, plan);
+  if (plan) planCache.set(row, plan);
   return plan;
 }
 
--- a/src/steering/planner.ts
+++ b/src/steering/planner.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the lease and writes plans: one transaction a second that renews the
- * lease and holds every new plan.
+ * Competes for the lease and, as its holder, writes plans: one transaction per
+ * second renews the lease and writes all new plans.
  *
  * @module
  */
@@ -24,20 +24,21 @@
   isHolder,
   type Lease,
   LEASE_KEY,
-  noteLeaseRow,
+  recordLease,
 } from "./lease.ts";
 import { readPlan } from "./plan_rows.ts";
 import { getPlanKey, type Plan } from "./types.ts";
 
 const log = createLogger("steering");
 
-const TICK_MS = 500;
-/** Time in which a new steer learns who is alive before it judges anybody. */
-const LEARN_MS = 4_000;
-/** Time between two snapshots of the rows. */
+/** Time between two checks of the lease, in ms. */
+const TICK_PERIOD_MS = 500;
+/** Time in which a new steer discovers live members before it acts, in ms. */
+const MEMBER_DISCOVERY_MS = 4_000;
+/** Time between two snapshots of the rows, in ms. */
 const SNAPSHOT_PERIOD_MS = 10_000;
 
-/** What the planner needs. */
+/** Dependencies of the planner. */
 export interface PlannerOptions {
   agent: ControlAgent;
   platform: Platform;
@@ -47,47 +48,54 @@
 
 /** A running planner. */
 export interface Planner {
+  /** @returns The planner's state, for the state dump. */
   dump(): unknown;
+  /** Stops the planner and discards writes that have not begun. */
   close(): void;
 }
 
 /**
- * Starts a candidate for the lease.
+ * Starts a planner: a candidate for the lease, which plans while it holds it.
  *
- * @param options See there.
+ * @param options The planner's dependencies.
  * @returns The running planner.
  */
 export function startPlanner(options: PlannerOptions): Planner {
   const { agent, platform, clock, metrics } = options;
   const startedMs = clock.monotonicMs();
-  const writes = new PQueue({ concurrency: 1 });
+  const writeQueue = new PQueue({ concurrency: 1 });
   const { id, incarnation } = agent.self;
   const lease = createLeaseState(id, incarnation, startedMs);
-  let snapshotMs = startedMs;
+  let lastSnapshotMs = startedMs;
   let plansWritten = 0;
 
   agent.onRows((rows) => {
     for (const row of rows) {
-      if (row.key === LEASE_KEY) noteLeaseRow(lease, row, clock.monotonicMs());
+      if (row.key === LEASE_KEY) recordLease(lease, row, clock.monotonicMs());
     }
   });
 
   function tick(): void {
-    if (writes.size + writes.pending > 0) return;
-    if (clock.monotonicMs() - startedMs < LEARN_MS || agent.replaced()) return;
-    void writes.add(act);
+    if (writeQueue.size + writeQueue.pending > 0) return;
+    if (
+      clock.monotonicMs() - startedMs < MEMBER_DISCOVERY_MS || agent.replaced()
+    ) return;
+    void writeQueue.add(renewLeaseAndPlan);
   }
 
-  async function act(): Promise<void> {
+  async function renewLeaseAndPlan(): Promise<void> {
     const nowMs = clock.monotonicMs();
-    const decision = decideLease(lease, getRank(), nowMs);
+    const decision = decideLease(lease, getCandidateRank(), nowMs);
     if (decision.action === "wait") return;
     const plans = isHolder(lease) ? makePlans(decision.lease.epoch) : [];
-    await write(decision.lease, decision.ifVersion, plans);
-    if (isHolder(lease)) await keepSnapshot();
+    await commitLeaseAndPlans(decision.lease, decision.ifVersion, plans);
+    if (isHolder(lease)) await storeSnapshot();
   }
 
-  function getRank(): number {
+  /**
+   * @returns Rank of this steer among the serving steers; -1 if not among them.
+   */
+  function getCandidateRank(): number {
     const steers = agent.serving("steer").map((member) => ({
       id: member.id,
       weight: 1,
@@ -104,7 +112,7 @@
       agent.serving("entry").map((member) => member.failureDomain),
     );
     return [...config.services.values()].flatMap(({ document }) => {
-      const known = estimate({
+      const currentEstimate = estimate({
         document,
         fleet,
         regionOf: config.regionOf,
@@ -117,13 +125,13 @@
       });
       const plan = decidePlan({
         document,
-        defaults: makeDefaultWeights(document, {
+        defaultWeights: makeDefaultWeights(document, {
           fleet,
           regionOf: config.regionOf,
           wallMs: clock.now().getTime(),
         }),
         current: readPlan(agent.row(getPlanKey(document.service))),
-        estimate: known,
+        estimate: currentEstimate,
         regionOf: config.regionOf,
         blockCount: countBlocks(fleet.clientBlocks),
         epoch,
@@ -133,7 +141,8 @@
     });
   }
 
-  async function write(
+  /** Writes the lease and plans unless one of their rows has changed. */
+  async function commitLeaseAndPlans(
     next: Lease,
     ifVersion: number,
     plans: Plan[],
@@ -160,38 +169,46 @@
       return;
     }
     if (commit.value.outcome === "conflict") {
-      log.info("Another steer wrote first", { step: "planner.write" });
+      log.info(
+        "Lease and plans not written: another steer changed one of the rows first",
+        { step: "planner.write" },
+      );
       return;
     }
     const { version } = commit.value;
-    noteWritten([leasePut, ...planPuts], { writeId, version });
+    applyCommittedRows([leasePut, ...planPuts], { writeId, version });
     plansWritten += plans.length;
     for (const plan of plans) {
       metrics.gauge("plan.number", plan.number, { service: plan.service });
     }
   }
 
-  function noteWritten(
+  /**
+   * Applies committed rows at once, before they arrive with the table's
+   * changes.
+   */
+  function applyCommittedRows(
     puts: RowPut[],
-    written: { writeId: string; version: number },
+    committed: { writeId: string; version: number },
   ): void {
     const throughVersion = agent.throughVersion();
     agent.applyOwnWrite({
       afterVersion: throughVersion,
       throughVersion,
-      rows: puts.map((put) => ({ ...put, ...written })),
+      rows: puts.map((put) => ({ ...put, ...committed })),
     });
   }
 
-  async function keepSnapshot(): Promise<void> {
-    if (clock.monotonicMs() - snapshotMs < SNAPSHOT_PERIOD_MS) return;
-    snapshotMs = clock.monotonicMs();
+  /** Stores all rows as an object, at most once per period. */
+  async function storeSnapshot(): Promise<void> {
+    if (clock.monotonicMs() - lastSnapshotMs < SNAPSHOT_PERIOD_MS) return;
+    lastSnapshotMs = clock.monotonicMs();
     const text = JSON.stringify(agent.allRows());
     const put = await platform.objects.put(SNAPSHOT_NAME, text);
     if (put.isErr()) log.info(describeError(put.error), { step: "snapshot" });
   }
 
-  const timer = clock.every(TICK_MS, tick);
+  const timer = clock.every(TICK_PERIOD_MS, tick);
   return {
     dump: () => ({
       holding: isHolder(lease),
@@ -200,7 +217,7 @@
     }),
     close() {
       timer.cancel();
-      writes.clear();
+      writeQueue.clear();
     },
   };
 }
--- a/src/steering/steering.ts
+++ b/src/steering/steering.ts
@@ -1,5 +1,5 @@
 /**
- * The weights in force in a process, one follower for each service.
+ * The weights in force in a process, with one follower per service.
  *
  * @module
  */
@@ -13,37 +13,44 @@
   createFollower,
   type FollowerState,
   followPlan,
-  walkTowards,
+  moveWithinLocalCap,
 } from "./follower.ts";
 import { LEASE_KEY } from "./lease.ts";
 import { makeLocalTarget } from "./local_target.ts";
 import { readPlan } from "./plan_rows.ts";
 import { getPlanKey, type WeightRow } from "./types.ts";
 
-const TICK_MS = 250;
-/** Age of the lease's last renewal at which nobody is taken to plan. */
-const CONTROL_LOST_MS = 6_000;
+/** Time between two updates of the followers, in ms. */
+const TICK_PERIOD_MS = 250;
+/**
+ * Time without a renewal of the lease after which the planner counts as lost,
+ * in ms.
+ */
+const PLANNER_TIMEOUT_MS = 6_000;
 
 /** The weights in force. */
 export interface Steering {
-  /** @returns Weights for callers of a region; empty for an unknown service. */
-  rowFor(service: string, callerRegion: string): WeightRow;
+  /** @returns Weights for a region's callers; empty for an unknown service. */
+  getWeightRow(service: string, callerRegion: string): WeightRow;
   /** @returns Number of the plan in force; 0 before any. */
   planNumber(service: string): number;
+  /** @returns The followers' state by service, for the state dump. */
   dump(): unknown;
+  /** Stops following plans. */
   close(): void;
 }
 
-/** What it needs. */
+/** Dependencies of steering. */
 export interface SteeringOptions {
   agent: ControlAgent;
   clock: Clock;
 }
 
 /**
- * Starts following plans.
+ * Starts to follow plans. Without a planner, the process moves by itself
+ * towards the newest plan, with lost regions replaced.
  *
- * @param options See there.
+ * @param options The dependencies.
  * @returns The weights in force.
  */
 export function startSteering({ agent, clock }: SteeringOptions): Steering {
@@ -52,11 +59,11 @@
 
   function tick(): void {
     for (const { document } of agent.config().services.values()) {
-      follow(document);
+      updateFollower(document);
     }
   }
 
-  function follow(document: ServiceDocument): void {
+  function updateFollower(document: ServiceDocument): void {
     const { service } = document;
     const follower = followers.get(service) ?? startFollower(document);
     if (follower === undefined) return;
@@ -68,21 +75,22 @@
       wallMs: clock.now().getTime(),
     };
     const plan = readPlan(agent.row(getPlanKey(service)));
-    if (context.nowMs - leaseSeenMs < CONTROL_LOST_MS) {
+    if (context.nowMs - leaseSeenMs < PLANNER_TIMEOUT_MS) {
       if (plan) followPlan(follower, plan, context);
       return;
     }
-    const wanted = plan?.weights ?? follower.weights;
+    const planWeights = plan?.weights ?? follower.weights;
     const target = makeLocalTarget({
-      weights: wanted,
+      weights: planWeights,
       aliveRegions: listAliveRegions(document),
       regionOf: context.regionOf,
       delayMs: (from, to) =>
         getDelayMs(agent.config().fleet!.document, from, to),
     });
-    walkTowards(follower, target, context);
+    moveWithinLocalCap(follower, target, context);
   }
 
+  /** Creates a follower, unless the fleet's document is still unknown. */
   function startFollower(document: ServiceDocument): FollowerState | undefined {
     const { fleet, regionOf } = agent.config();
     if (fleet === undefined) return undefined;
@@ -94,6 +102,7 @@
     return createFollower(makeDefaultWeights(document, context));
   }
 
+  /** Lists the service's regions in which this process sees a serving entry. */
   function listAliveRegions(document: ServiceDocument): Set<string> {
     const alive = agent.serving("entry").map((member) => member.region);
     return new Set(
@@ -108,9 +117,9 @@
     tick();
   });
   tick();
-  const timer = clock.every(TICK_MS, tick);
+  const timer = clock.every(TICK_PERIOD_MS, tick);
   return {
-    rowFor: (service, callerRegion) =>
+    getWeightRow: (service, callerRegion) =>
       followers.get(service)?.weights[callerRegion] ?? {},
     planNumber: (service) => followers.get(service)?.number ?? 0,
     dump: () => Object.fromEntries(followers),
