--- a/src/bin/hawthorngw_load.ts
+++ b/src/bin/hawthorngw_load.ts
@@ -10,7 +10,7 @@
 import cliProgress from "cli-progress";
 import { prepareDeployment } from "../deployment/prepare.ts";
 import { type LoadSettings, loadSettingsSchema } from "../deployment/types.ts";
-import { measureControl } from "../load/control_cost.ts";
+import { measureControlCost } from "../load/control_cost.ts";
 import { measurePathCost } from "../load/path_cost.ts";
 import { type Progress, runExperiment } from "../load/experiment.ts";
 import type { Report } from "../load/types.ts";
@@ -38,7 +38,7 @@
   const [command, ...args] = process.argv.slice(2);
   if (command === "prepare") return await prepare(args);
   if (command === "run") return await run(args);
-  if (command === "control") return await measure(args, measureControl);
+  if (command === "control") return await measure(args, measureControlCost);
   if (command === "path") return await measure(args, measurePathCost);
   const wantsHelp = command === "--help" || command === "-h";
   (wantsHelp ? process.stdout : process.stderr).write(USAGE);
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -2,9 +2,9 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import {
-  type Commit,
   type PlatformResult,
   type Transaction,
+  type TransactionResult,
 } from "../platform/types.ts";
 import { err } from "neverthrow";
 import { createSystemClock } from "../runtime/clock.ts";
@@ -28,12 +28,14 @@
   lose: LostAnswer | undefined;
   writes = 0;
 
-  override async transact(transaction: Transaction): PlatformResult<Commit> {
+  override async transact(
+    transaction: Transaction,
+  ): PlatformResult<TransactionResult> {
     this.writes += 1;
     const { lose } = this;
     this.lose = undefined;
     const commit = lose === "before"
-      ? ok<Commit, StepError>({ outcome: "committed", version: 0 })
+      ? ok<TransactionResult, StepError>({ outcome: "committed", version: 0 })
       : await super.transact(transaction);
     if (lose === undefined) return commit;
     return err(
--- a/src/deployment/callers_address_test.ts
+++ b/src/deployment/callers_address_test.ts
@@ -7,7 +7,7 @@
 import { request } from "undici";
 import { createSystemClock } from "../runtime/clock.ts";
 import { splitAddress } from "../runtime/address.ts";
-import { makeSmallDeployment, pickBase, until } from "./fixture.ts";
+import { makeSmallDeployment, pickAddressBase, waitUntil } from "./fixture.ts";
 import { type RunningDeployment, startDeployment } from "./in_process.ts";
 
 const SEED = 20261202;
@@ -23,10 +23,14 @@
 
 test.before(async (context) => {
   const deployment = makeSmallDeployment();
-  context.deployment = await startDeployment(deployment, clock, pickBase());
+  context.deployment = await startDeployment(
+    deployment,
+    clock,
+    pickAddressBase(),
+  );
   context.steer = context.deployment.files.load.steers[0].caller;
   context.entry = context.steer.replace(":7100", ":7200");
-  await until(async () => {
+  await waitUntil(async () => {
     const url = `http://${context.entry}/v1/services/enrol/entries/17`;
     const response = await request(url);
     await response.body.dump();
@@ -36,14 +40,17 @@
 
 test.after(({ deployment }) => deployment.stop());
 
-interface Ask {
+interface TestRequest {
   method?: string;
   path: string;
   headers?: Record<string, string>;
   body?: string;
 }
 
-async function ask(address: string, { method, path, headers, body }: Ask) {
+async function sendRequest(
+  address: string,
+  { method, path, headers, body }: TestRequest,
+) {
   const response = await request(`http://${address}${path}`, {
     method: (method ?? "GET") as "GET",
     headers,
@@ -67,7 +74,7 @@
 
 for (const [name, path, status, detail] of lookups) {
   test(`a look-up with ${name} is refused: ${status}`, async ({ steer }) => {
-    const answer = await ask(steer, { path });
+    const answer = await sendRequest(steer, { path });
     assert.is(answer.status, status);
     assert.is(answer.headers["content-type"], "application/problem+json");
     assert.match(JSON.parse(answer.text).detail, detail);
@@ -76,7 +83,7 @@
 
 const SERVICE_PATH = "/v1/services/enrol";
 const post = { method: "POST", path: `${SERVICE_PATH}/entries`, body: "x" };
-const requests: [string, Ask, number, RegExp][] = [
+const requests: [string, TestRequest, number, RegExp][] = [
   ["no key", post, 400, /Idempotency-Key/],
   [
     "a malformed key",
@@ -121,9 +128,9 @@
   ],
 ];
 
-for (const [name, asked, status, detail] of requests) {
+for (const [name, input, status, detail] of requests) {
   test(`a request with ${name} is refused: ${status}`, async ({ entry }) => {
-    const answer = await ask(entry, asked);
+    const answer = await sendRequest(entry, input);
     assert.is(answer.status, status, answer.text);
     const problem = JSON.parse(answer.text);
     assert.is(problem.outcome, "not_run");
@@ -131,10 +138,10 @@
   });
 }
 
-test("a key of a process that is gone is unknown, with when to come back", async ({ entry }) => {
+test("a key of a process that is gone gives an unknown outcome and Retry-After", async ({ entry }) => {
   const epoch = Math.floor(Date.now() / 60_000);
   const key = `thies-1-a.1.${epoch}.aaaaaaaa`;
-  const answer = await ask(entry, {
+  const answer = await sendRequest(entry, {
     ...post,
     headers: { "idempotency-key": key },
   });
@@ -149,30 +156,30 @@
     const address = `${host}:${callerPort + port}`;
     const path = port === 1 ? "/v1/handover" : "/v1/dump";
     const method = port === 1 ? "POST" : "GET";
-    assert.is((await ask(address, { method, path })).status, 401);
+    assert.is((await sendRequest(address, { method, path })).status, 401);
     const wrong = { "hawthorngw-key": "x" };
-    const answer = await ask(address, { method, path, headers: wrong });
+    const answer = await sendRequest(address, { method, path, headers: wrong });
     assert.is(answer.status, 401);
   });
 }
 
-test("a caller that drips its request is cut off", async ({ entry }) => {
+test("a caller that sends its request too slowly is cut off", async ({ entry }) => {
   const { host, port } = splitAddress(entry);
   const answer = await new Promise<string>((resolve) => {
     let received = "";
     const socket = connect(port, host, () => socket.write("GET /v1/ser"));
-    const drip = clock.every(200, () => socket.write("v"));
+    const timer = clock.every(200, () => socket.write("v"));
     socket.on("data", (chunk) => received += chunk.toString());
     socket.on("error", () => {});
     socket.on("close", () => {
-      drip.cancel();
+      timer.cancel();
       resolve(received);
     });
   });
   assert.match(answer, /^HTTP\/1\.1 408 /);
 });
 
-/** Sends bytes and waits until the other side has closed or gone silent. */
+/** Sends bytes and waits until the connection is closed, at most 300 ms. */
 function sendRaw(address: string, bytes: Uint8Array): Promise<void> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
@@ -184,7 +191,7 @@
   });
 }
 
-test("any bytes leave the entry serving, with bounded memory", async ({ entry }) => {
+test("malformed input neither stops an entry nor grows its memory without bound", async ({ entry }) => {
   const line = fc.constantFrom(
     "GET /v1/services/enrol/a HTTP/1.1\r\nhost: x\r\n\r\n",
     "POST /v1/services/enrol/entries HTTP/1.1\r\nhost: x\r\n" +
@@ -208,7 +215,9 @@
     ),
     { seed: SEED, numRuns: 200 },
   );
-  const answer = await ask(entry, { path: `${SERVICE_PATH}/entries/17` });
+  const answer = await sendRequest(entry, {
+    path: `${SERVICE_PATH}/entries/17`,
+  });
   assert.is(answer.status, 200);
   const grownBytes = process.memoryUsage().heapUsed - before;
   assert.ok(grownBytes < 100_000_000, `grew by ${grownBytes} bytes`);
--- a/src/deployment/fixture.ts
+++ b/src/deployment/fixture.ts
@@ -1,5 +1,5 @@
 /**
- * What tests over real sockets share: a small deployment, and waiting.
+ * Fixture of tests over real sockets: a small deployment and a wait function.
  *
  * @module
  */
@@ -9,15 +9,23 @@
 
 const clock = createSystemClock();
 
-/** The one service of the small deployment. */
+/** Name of the only service of the small deployment. */
 export const SERVICE = "enrol";
 
-/** @returns Second number of addresses that other test runs don't use. */
-export function pickBase(): number {
+/**
+ * @returns Second octet of addresses; by process id, so that parallel runs
+ * rarely clash.
+ */
+export function pickAddressBase(): number {
   return 201 + process.pid % 50;
 }
 
-/** Two regions of one failure domain each, with two entry VMs and servers. */
+/**
+ * Makes a deployment of two regions with one failure domain each, with two
+ * entry VMs and two backend servers in each failure domain.
+ *
+ * @returns The deployment.
+ */
 export function makeSmallDeployment(): Deployment {
   const region = (name: string, clientPrefix: string) => ({
     name,
@@ -71,13 +79,19 @@
   });
 }
 
-/** Waits for a state, however long the machine takes. */
-export async function until(
+/**
+ * Polls a condition until it holds, at most 400 times at intervals of 50 ms;
+ * the limit allows for a heavily loaded machine.
+ *
+ * @param isDone The condition.
+ * @throws Error where the condition doesn't hold in time.
+ */
+export async function waitUntil(
   isDone: () => Promise<boolean> | boolean,
 ): Promise<void> {
   for (let tries = 0; tries < 400; tries++) {
     if (await isDone()) return;
     await pause(clock, 50);
   }
-  throw new Error("The state was not reached");
+  throw new Error("The condition did not hold in time");
 }
--- a/src/deployment/generate.ts
+++ b/src/deployment/generate.ts
@@ -1,7 +1,7 @@
 /**
- * Makes the settings and documents of a deployment on loopback. Every VM and
- * backend server has an address of its own in 127.0.0.0/8, so ports can be the
- * same everywhere, as on real VMs. Pure.
+ * Generates the settings and documents of a loopback deployment. Every VM and
+ * backend server has its own address in 127.0.0.0/8, so that all of them can
+ * use the same ports, as on real VMs. Has no side effects.
  *
  * @module
  */
@@ -15,27 +15,31 @@
   LoadSettings,
 } from "./types.ts";
 
-/** Choices of one run. */
+/** Options of a generated deployment. */
 export interface GenerateOptions {
-  /** Second number of all addresses: 127.`base`.x.y. */
+  /** Second octet of all addresses: 127.`base`.x.y. */
   base: number;
+  /** Overrides the request rate of the deployment. */
   requestsPerS?: number;
-  /** Entry VMs of each failure domain, unless the deployment says. */
+  /** Overrides the number of entry VMs of each failure domain. */
   vmsPerDomain?: number;
+  /** Duration of the load. */
   durationS: number;
   reportFile?: string;
   htmlFile?: string;
+  /** Seed of arrivals and service times. */
   seed: number;
 }
 
 const PEER_KEY = "loopback-peer-key-0001";
 const OPERATOR_KEY = "loopback-operator-key-0001";
-/** Share of the measured demand by which documents state expectations. */
-const EXPECTED_FACTOR = 1.2;
+/** Expected demand in documents, as a multiple of the generated load. */
+const EXPECTED_DEMAND_FACTOR = 1.2;
 
-/** VMs of a failure domain are lettered from `a`. */
-const FIRST_LETTER = 97;
+/** Character code of `a`: ids of a failure domain's VMs end in `-a`, `-b`, … */
+const FIRST_VM_SUFFIX = 97;
 
+/** An entry VM and its address. */
 interface PlacedVm {
   id: string;
   region: string;
@@ -45,42 +49,45 @@
   index: number;
 }
 
-interface Plan {
+/** Inputs of the generator functions. */
+interface GenerateContext {
   deployment: Deployment;
   options: GenerateOptions;
   vms: PlacedVm[];
 }
 
 /**
- * @param deployment The deployment.
- * @param options Choices of the run.
- * @returns Everything that runs.
+ * Generates everything that a deployment needs to run.
+ *
+ * @param deployment Description of the deployment.
+ * @param options Address range, load and report files.
+ * @returns Settings of all processes and of the load, and the documents.
  */
 export function generateDeployment(
   deployment: Deployment,
   options: GenerateOptions,
 ): DeploymentFiles {
-  const plan = { deployment, options, vms: placeVms(deployment, options) };
-  const fleet = makeFleet(plan);
+  const context = { deployment, options, vms: placeVms(deployment, options) };
+  const fleet = makeFleet(context);
   const services = deployment.services.map((_, index) =>
-    makeServiceDocument(plan, index)
+    makeServiceDocument(context, index)
   );
   return {
     processes: [
       {
         name: "platform",
         binary: "standin",
-        settings: { kind: "platform", address: platformAddress(options) },
+        settings: { kind: "platform", address: getPlatformAddress(options) },
       },
-      makeNetwork(plan),
-      ...makeBackendProcesses(plan, services),
-      ...plan.vms.flatMap((vm) => makeDaemons(plan, vm)),
+      makeNetwork(context),
+      ...makeBackendProcesses(context, services),
+      ...context.vms.flatMap((vm) => makeDaemons(context, vm)),
     ],
     documents: [
       { name: "fleet", document: fleet },
       ...services.map((document) => ({ name: document.service, document })),
     ],
-    load: makeLoad(plan, services),
+    load: makeLoad(context, services),
   };
 }
 
@@ -95,7 +102,7 @@
       for (let count = 0; count < vmCount; count++) {
         const index = vms.length;
         vms.push({
-          id: `${domain.name}-${String.fromCharCode(FIRST_LETTER + count)}`,
+          id: `${domain.name}-${String.fromCharCode(FIRST_VM_SUFFIX + count)}`,
           region: region.name,
           regionIndex,
           failureDomain: domain.name,
@@ -108,11 +115,11 @@
   return vms;
 }
 
-function platformAddress({ base }: GenerateOptions): string {
+function getPlatformAddress({ base }: GenerateOptions): string {
   return `127.${base}.0.1:7000`;
 }
 
-function endpoints(host: string, port: number) {
+function makeEndpoints(host: string, port: number) {
   return {
     caller: `${host}:${port}`,
     peer: `${host}:${port + 1}`,
@@ -120,23 +127,25 @@
   };
 }
 
-function steerOf(vm: PlacedVm) {
-  return endpoints(vm.host, 7100);
+/** @returns Addresses of a VM's steer. */
+function getSteerEndpoints(vm: PlacedVm) {
+  return makeEndpoints(vm.host, 7100);
 }
 
-function entryOf(vm: PlacedVm) {
-  return endpoints(vm.host, 7200);
+/** @returns Addresses of a VM's entry. */
+function getEntryEndpoints(vm: PlacedVm) {
+  return makeEndpoints(vm.host, 7200);
 }
 
-function makeFleet({ deployment, vms }: Plan): FleetDocument {
+function makeFleet({ deployment, vms }: GenerateContext): FleetDocument {
   const { regions } = deployment;
   return {
     regions: listRegions(deployment),
     entryVms: vms.map((vm) => ({
       id: vm.id,
       failureDomain: vm.failureDomain,
-      steer: steerOf(vm),
-      entry: entryOf(vm),
+      steer: getSteerEndpoints(vm),
+      entry: getEntryEndpoints(vm),
     })),
     withinRegionOneWayMs: deployment.withinRegionOneWayMs,
     links: regions.flatMap((from) =>
@@ -167,28 +176,33 @@
 }
 
 function makeServiceDocument(
-  { deployment, options }: Plan,
+  { deployment, options }: GenerateContext,
   index: number,
 ): ServiceDocument {
-  const made = deployment.services[index];
+  const service = deployment.services[index];
   const domains = listDomains(deployment);
   const requestsPerS = (options.requestsPerS ?? deployment.requestsPerS) *
-    made.share * EXPECTED_FACTOR;
+    service.share * EXPECTED_DEMAND_FACTOR;
   return {
-    ...made.document,
+    ...service.document,
     regions: deployment.regions.map(({ name }) => name),
-    backendServers: Array.from({ length: made.backendServers }, (_, number) => {
-      const domain = number % domains.length;
-      const last = index * 40 + Math.floor(number / domains.length) + 1;
-      return {
-        id: `${made.document.service}-${String(number + 1).padStart(2, "0")}`,
-        failureDomain: domains[domain],
-        address: `127.${options.base}.${20 + domain}.${last}:8000`,
-        slots: made.slots,
-        connections: made.connections,
-      };
-    }),
-    expectedServiceMs: made.serviceMs,
+    backendServers: Array.from(
+      { length: service.backendServers },
+      (_, number) => {
+        const domain = number % domains.length;
+        const lastOctet = index * 40 + Math.floor(number / domains.length) + 1;
+        return {
+          id: `${service.document.service}-${
+            String(number + 1).padStart(2, "0")
+          }`,
+          failureDomain: domains[domain],
+          address: `127.${options.base}.${20 + domain}.${lastOctet}:8000`,
+          slots: service.slots,
+          connections: service.connections,
+        };
+      },
+    ),
+    expectedServiceMs: service.serviceMs,
     expectedRequestsPerS: Object.fromEntries(
       deployment.regions.map(({ name, demandShare }) => [
         name,
@@ -198,78 +212,88 @@
   };
 }
 
-/** Name of the platform as the target of links from failure domains. */
-export const PLATFORM = "platform";
+/** Target name of the links from failure domains to the platform. */
+export const PLATFORM_LINK_TARGET = "platform";
 
-/** Where a failure domain reaches the platform: a link that can be cut. */
-function platformRoute(
-  { deployment, options }: Plan,
+/** Makes the route from a failure domain to the platform, which can be cut. */
+function makePlatformRoute(
+  { deployment, options }: GenerateContext,
   domain: string,
 ): RelayRoute {
   const index = listDomains(deployment).indexOf(domain);
   return {
     from: domain,
-    to: PLATFORM,
+    to: PLATFORM_LINK_TARGET,
     listenAddress: `127.${options.base}.3.${index + 1}:7000`,
-    targetAddress: platformAddress(options),
+    targetAddress: getPlatformAddress(options),
     oneWayMs: 0,
   };
 }
 
-/** One address for each pair of a dialing region and a target elsewhere. */
-function listRoutes({ deployment, options, vms }: Plan): RelayRoute[] {
+/**
+ * Lists a route for each pair of a connecting region and a peer address in
+ * another.
+ */
+function listRoutes(
+  { deployment, options, vms }: GenerateContext,
+): RelayRoute[] {
   return deployment.regions.flatMap((from, fromIndex) =>
     vms.filter((vm) => vm.region !== from.name).flatMap((vm) =>
-      [steerOf(vm).peer, entryOf(vm).peer].map((targetAddress) => {
-        const port = targetAddress.split(":")[1];
-        const host = `127.${options.base}.${100 + fromIndex}.${vm.index + 1}`;
-        return {
-          from: from.name,
-          to: vm.region,
-          listenAddress: `${host}:${port}`,
-          targetAddress,
-          oneWayMs: deployment.betweenRegionsOneWayMs,
-        };
-      })
+      [getSteerEndpoints(vm).peer, getEntryEndpoints(vm).peer].map(
+        (targetAddress) => {
+          const port = targetAddress.split(":")[1];
+          const host = `127.${options.base}.${100 + fromIndex}.${vm.index + 1}`;
+          return {
+            from: from.name,
+            to: vm.region,
+            listenAddress: `${host}:${port}`,
+            targetAddress,
+            oneWayMs: deployment.betweenRegionsOneWayMs,
+          };
+        },
+      )
     )
   );
 }
 
-function networkAdmin({ base }: GenerateOptions): string {
+function getNetworkAdminAddress({ base }: GenerateOptions): string {
   return `127.${base}.0.2:7000`;
 }
 
-function makeNetwork(plan: Plan): DeploymentProcess {
+function makeNetwork(context: GenerateContext): DeploymentProcess {
   return {
     name: "network",
     binary: "standin",
     settings: {
       kind: "network",
-      adminAddress: networkAdmin(plan.options),
+      adminAddress: getNetworkAdminAddress(context.options),
       routes: [
-        ...listRoutes(plan),
-        ...listDomains(plan.deployment)
-          .map((domain) => platformRoute(plan, domain)),
+        ...listRoutes(context),
+        ...listDomains(context.deployment)
+          .map((domain) => makePlatformRoute(context, domain)),
       ],
     },
   };
 }
 
-function backendAdmin({ base }: GenerateOptions, domain: number): string {
+function getBackendAdminAddress(
+  { base }: GenerateOptions,
+  domain: number,
+): string {
   return `127.${base}.1.${domain + 1}:7000`;
 }
 
 function makeBackendProcesses(
-  { deployment, options }: Plan,
+  { deployment, options }: GenerateContext,
   services: ServiceDocument[],
 ): DeploymentProcess[] {
-  const regionOf = mapRegions({ regions: listRegions(deployment) });
+  const regionByDomain = mapRegions({ regions: listRegions(deployment) });
   return listDomains(deployment).map((domain, index) => ({
     name: `backends-${domain}`,
     binary: "standin",
     settings: {
       kind: "backends",
-      adminAddress: backendAdmin(options, index),
+      adminAddress: getBackendAdminAddress(options, index),
       seed: options.seed + index * 1_000,
       servers: services.flatMap((document, serviceIndex) =>
         document.backendServers
@@ -278,7 +302,7 @@
             id,
             service: document.service,
             failureDomain: domain,
-            region: regionOf.get(domain)!,
+            region: regionByDomain.get(domain)!,
             address,
             slots,
             serviceMs: deployment.services[serviceIndex].serviceMs,
@@ -288,9 +312,14 @@
   }));
 }
 
-function makeDaemons(plan: Plan, vm: PlacedVm): DeploymentProcess[] {
-  const { vms } = plan;
-  const routes = listRoutes(plan).filter((route) => route.from === vm.region);
+function makeDaemons(
+  context: GenerateContext,
+  vm: PlacedVm,
+): DeploymentProcess[] {
+  const { vms } = context;
+  const routes = listRoutes(context).filter((route) =>
+    route.from === vm.region
+  );
   const sameDomain = vms.filter((other) =>
     other.failureDomain === vm.failureDomain
   );
@@ -299,11 +328,11 @@
     failureDomain: vm.failureDomain,
     region: vm.region,
     platformUrl: `http://${
-      platformRoute(plan, vm.failureDomain).listenAddress
+      makePlatformRoute(context, vm.failureDomain).listenAddress
     }`,
     peerKey: PEER_KEY,
     operatorKey: OPERATOR_KEY,
-    seeds: sameDomain.map((other) => steerOf(other).peer),
+    seeds: sameDomain.map((other) => getSteerEndpoints(other).peer),
     peerRoutes: Object.fromEntries(
       routes.map(({ targetAddress, listenAddress }) => [
         targetAddress,
@@ -311,7 +340,10 @@
       ]),
     ),
   };
-  const roles = [["steer", steerOf(vm)], ["entry", entryOf(vm)]] as const;
+  const roles = [["steer", getSteerEndpoints(vm)], [
+    "entry",
+    getEntryEndpoints(vm),
+  ]] as const;
   return roles.map(([role, addresses]) => ({
     name: `${role}-${vm.id}`,
     binary: role,
@@ -324,24 +356,27 @@
   }));
 }
 
-function makeLoad(plan: Plan, services: ServiceDocument[]): LoadSettings {
-  const { deployment, options, vms } = plan;
-  const regionOf = mapRegions({ regions: listRegions(deployment) });
+function makeLoad(
+  context: GenerateContext,
+  services: ServiceDocument[],
+): LoadSettings {
+  const { deployment, options, vms } = context;
+  const regionByDomain = mapRegions({ regions: listRegions(deployment) });
   return {
     deployment: deployment.name,
-    platformUrl: `http://${platformAddress(options)}`,
+    platformUrl: `http://${getPlatformAddress(options)}`,
     operatorKey: OPERATOR_KEY,
     steers: vms.map((vm) => ({
       region: vm.region,
-      caller: steerOf(vm).caller,
+      caller: getSteerEndpoints(vm).caller,
     })),
     operators: vms.flatMap((
       vm,
-    ) => [steerOf(vm).operator, entryOf(vm).operator]),
+    ) => [getSteerEndpoints(vm).operator, getEntryEndpoints(vm).operator]),
     backendAdmins: listDomains(deployment).map((_, index) =>
-      backendAdmin(options, index)
+      getBackendAdminAddress(options, index)
     ),
-    networkAdmin: networkAdmin(options),
+    networkAdmin: getNetworkAdminAddress(options),
     linkLimitBytesPerS: deployment.linkLimitBytesPerS,
     regions: deployment.regions.map(({ name, demandShare, clientPrefix }) => ({
       name,
@@ -349,10 +384,10 @@
       clientPrefix,
     })),
     clientBlocksPerRegion: deployment.clientBlocksPerRegion,
-    services: deployment.services.map((made, index) => ({
+    services: deployment.services.map((service, index) => ({
       name: services[index].service,
-      share: made.share,
-      mix: made.mix.map((part) => {
+      share: service.share,
+      mix: service.mix.map((part) => {
         const found = services[index].classes.find(({ name }) =>
           name === part.class
         );
@@ -365,7 +400,7 @@
       services.flatMap(({ backendServers }) =>
         backendServers.map(({ id, failureDomain }) => [
           id,
-          regionOf.get(failureDomain)!,
+          regionByDomain.get(failureDomain)!,
         ])
       ),
     ),
--- a/src/deployment/in_process.ts
+++ b/src/deployment/in_process.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a deployment's factories in one process, for tests and benches.
+ * Runs a whole deployment in one process, for tests and benchmarks.
  *
  * @module
  */
@@ -26,26 +26,31 @@
 import { generateDeployment } from "./generate.ts";
 import type { Deployment, DeploymentFiles } from "./types.ts";
 
-/** A deployment that runs in this process. */
+/** A deployment running in this process. */
 export interface RunningDeployment {
   files: DeploymentFiles;
   platform: StandinPlatform;
   network: StandinNetwork;
-  /** By failure domain's process name, such as `backends-oslo-1`. */
+  /** Backend servers by process name, such as `backends-oslo-1`. */
   backends: Map<string, StandinBackends>;
-  /** By process name, such as `entry-oslo-1-a`. */
+  /** Steers and entries by process name, such as `entry-oslo-1-a`. */
   daemons: Map<string, Daemon>;
   store: DocumentStore;
-  /** Starts one daemon again, as a new process. */
+  /** Starts a daemon again, as a new process would start. */
   restart(name: string): Promise<void>;
+  /** Kills all daemons and stops the stand-ins. */
   stop(): Promise<void>;
 }
 
 /**
- * @param deployment What to start.
+ * Starts the stand-ins, writes the documents to the table, and starts all
+ * daemons.
+ *
+ * @param deployment Description of the deployment.
  * @param clock The clock.
- * @param base Second number of all addresses.
- * @returns The running deployment, with its documents in force.
+ * @param base Second octet of all addresses.
+ * @returns The running deployment.
+ * @throws Where an address can't be listened on.
  */
 export async function startDeployment(
   deployment: Deployment,
@@ -57,10 +62,10 @@
     durationS: 1,
     seed: 1,
   });
-  const settingsOf = (name: string) =>
-    files.processes.find((made) => made.name === name)!.settings;
-  const platform = await startPlatform(settingsOf("platform"), clock);
-  const network = await startNetwork(settingsOf("network"), clock);
+  const getSettings = (name: string) =>
+    files.processes.find((process) => process.name === name)!.settings;
+  const platform = await startPlatform(getSettings("platform"), clock);
+  const network = await startNetwork(getSettings("network"), clock);
   const backends = new Map<string, StandinBackends>();
   for (const { name, settings } of files.processes) {
     if (!name.startsWith("backends-")) continue;
@@ -76,9 +81,9 @@
   const daemons = new Map<string, Daemon>();
 
   async function restart(name: string): Promise<void> {
-    const made = files.processes.find((process) => process.name === name)!;
-    const settings = daemonSettingsSchema.parse(made.settings);
-    const start = made.binary === "steer" ? startSteer : startEntry;
+    const found = files.processes.find((process) => process.name === name)!;
+    const settings = daemonSettingsSchema.parse(found.settings);
+    const start = found.binary === "steer" ? startSteer : startEntry;
     daemons.set(name, await start(settings, clock));
   }
 
@@ -96,7 +101,7 @@
     restart,
     async stop() {
       await Promise.all([...daemons.values()].map((daemon) => daemon.kill()));
-      await Promise.all([...backends.values()].map((one) => one.stop()));
+      await Promise.all([...backends.values()].map((server) => server.stop()));
       await network.stop();
       await platform.stop();
     },
@@ -105,18 +110,18 @@
 
 function startPlatform(settings: unknown, clock: Clock) {
   const parsed = standinSettingsSchema.parse(settings);
-  if (parsed.kind !== "platform") throw new Error("Not a platform's settings");
+  if (parsed.kind !== "platform") throw new Error("Kind is not platform");
   return startStandinPlatform(parsed.address, clock);
 }
 
 function startNetwork(settings: unknown, clock: Clock) {
   const parsed = standinSettingsSchema.parse(settings);
-  if (parsed.kind !== "network") throw new Error("Not a network's settings");
+  if (parsed.kind !== "network") throw new Error("Kind is not network");
   return startStandinNetwork(parsed, clock);
 }
 
 function startBackends(settings: unknown, clock: Clock) {
   const parsed = standinSettingsSchema.parse(settings);
-  if (parsed.kind !== "backends") throw new Error("Not backends' settings");
+  if (parsed.kind !== "backends") throw new Error("Kind is not backends");
   return startStandinBackends(parsed, clock);
 }
--- a/src/deployment/prepare.ts
+++ b/src/deployment/prepare.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a deployment's settings and documents to a folder.
+ * Writes the settings and documents of a loopback deployment to a folder.
  *
  * @module
  */
@@ -12,23 +12,25 @@
 import { generateDeployment, type GenerateOptions } from "./generate.ts";
 import { type Deployment, deploymentSchema } from "./types.ts";
 
-/** Second numbers of addresses that are tried. */
+/** Range of second octets in which a free address range is searched. */
 const FIRST_BASE = 20;
 const LAST_BASE = 200;
 
-/** What to prepare. */
+/** Options of a prepared deployment. */
 export interface PrepareOptions extends Omit<GenerateOptions, "base"> {
+  /** Folder to write to; created if it doesn't exist. */
   dir: string;
-  /** Name of an example, or path of a file. */
+  /** Name of an example, or path of a deployment file. */
   deployment: string;
 }
 
 /**
- * Reads a deployment's file.
+ * Reads a deployment file.
  *
  * @param nameOrFile Name of an example, or path of a file.
  * @returns The deployment.
- * @throws StepError of kind `invalid`.
+ * @throws StepError of kind `invalid` where there is no such file or its
+ * content is invalid.
  */
 export function readDeployment(nameOrFile: string): Deployment {
   const example = fileURLToPath(
@@ -36,19 +38,22 @@
   );
   const file = existsSync(example) ? example : nameOrFile;
   if (!existsSync(file)) {
-    throw invalid(`No deployment is named "${nameOrFile}"`);
+    throw makeInvalidError(`No deployment is named "${nameOrFile}"`);
   }
   const text = readFileSync(file, "utf8");
   const parsed = parseDocument({ file, text }, deploymentSchema);
   if (parsed.isOk()) return parsed.value;
-  throw invalid(parsed.error.map(formatProblem).join("\n"));
+  throw makeInvalidError(parsed.error.map(formatProblem).join("\n"));
 }
 
 /**
- * Prepares a folder: `<name>.jsonc` for each process, `documents/`, and
- * `processes.txt` with a line `name binary settings` for each process.
+ * Writes all files of a deployment to a folder: `<name>.jsonc` for each
+ * process, `documents/`, `load.jsonc`, `platform.txt` with the platform's URL,
+ * and `processes.txt` with a line `name binary settings` for each process.
  *
- * @param options See there.
+ * @param options Folder, deployment and load.
+ * @throws StepError of kind `invalid` where the deployment is invalid or no
+ * address range is free.
  */
 export async function prepareDeployment(
   options: PrepareOptions,
@@ -76,11 +81,12 @@
   writeFileSync(file, `${JSON.stringify(value, null, 2)}\n`);
 }
 
+/** Finds a second octet whose platform address is free. */
 async function findFreeBase(): Promise<number> {
   for (let base = FIRST_BASE; base <= LAST_BASE; base++) {
     if (await canListen(`127.${base}.0.1`)) return base;
   }
-  throw invalid("No free range of loopback addresses was found");
+  throw makeInvalidError("No free range of loopback addresses was found");
 }
 
 function canListen(host: string): Promise<boolean> {
@@ -91,7 +97,7 @@
   });
 }
 
-function invalid(message: string): StepError {
+function makeInvalidError(message: string): StepError {
   return new StepError(message, {
     step: "deployment.prepare",
     peer: "self",
--- a/src/deployment/types.ts
+++ b/src/deployment/types.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment on loopback, for development: its schema and what is made of it.
+ * Schemas of a loopback deployment, for development, and of the load on it.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9-]{0,40}$/);
 
 const mixSchema = z.strictObject({
-  /** Class of the service that these requests belong to. */
+  /** Request class of the service. */
   class: nameSchema,
   method: z.enum(["GET", "POST"]),
   path: z.string().startsWith("/"),
@@ -19,7 +19,7 @@
   bodyBytes: z.int().min(0).default(0),
 });
 
-/** Schema of a deployment's file. */
+/** Schema of a deployment file. */
 export const deploymentSchema = z.strictObject({
   name: nameSchema,
   regions: z.array(z.strictObject({
@@ -28,36 +28,37 @@
       name: nameSchema,
       entryVms: z.int().min(1).max(4),
     })).min(1),
-    /** Share of all requests that comes from this region's clients. */
+    /** Share of all requests that come from the region's clients. */
     demandShare: z.number().min(0).max(1),
-    /** First two numbers of its clients' addresses, such as `10.1`. */
+    /** First two octets of the clients' addresses, such as `10.1`. */
     clientPrefix: z.string().regex(/^\d{1,3}\.\d{1,3}$/),
   })).min(1),
   withinRegionOneWayMs: z.number().min(0),
   betweenRegionsOneWayMs: z.number().min(0),
+  /** Byte limit of each link between regions. */
   linkLimitBytesPerS: z.number().positive(),
-  /** Client blocks used in each region, at most 256. */
+  /** Client blocks that send requests in each region. */
   clientBlocksPerRegion: z.int().min(1).max(256),
   services: z.array(z.strictObject({
     backendServers: z.int().min(1).max(200),
     slots: z.int().min(1),
     connections: z.int().min(1),
-    /** Mean time of a request at a backend server, in ms. */
+    /** Mean service time of a request, in ms. */
     serviceMs: z.number().positive(),
     /** Share of all requests. */
     share: z.number().min(0).max(1),
     mix: z.array(mixSchema).min(1),
-    /** The service's document, less its regions and backend servers. */
+    /** Document of the service, without regions and backend servers. */
     document: serviceSchema.omit({ regions: true, backendServers: true }),
   })).min(1),
-  /** Requests a second of the whole load, unless told otherwise. */
+  /** Requests per second of the whole load, unless an option overrides it. */
   requestsPerS: z.number().positive(),
 });
 
-/** A deployment. */
+/** Description of a loopback deployment. */
 export type Deployment = z.infer<typeof deploymentSchema>;
 
-/** Schema of the load's settings. */
+/** Schema of the settings of a load run. */
 export const loadSettingsSchema = z.object({
   deployment: z.string(),
   platformUrl: z.string(),
@@ -85,27 +86,29 @@
   serverRegions: z.record(z.string(), z.string()),
   requestsPerS: z.number(),
   durationS: z.number(),
-  /** Made when every daemon is up and the first request is due. */
+  /** File that is created once all daemons are ready and the load starts. */
   loadingFile: z.string().optional(),
+  /** File for the report as JSON. */
   reportFile: z.string().optional(),
+  /** File for the report as an HTML page. */
   htmlFile: z.string().optional(),
   seed: z.number(),
 });
 
-/** Settings of the load. */
+/** Settings of a load run. */
 export type LoadSettings = z.infer<typeof loadSettingsSchema>;
 
-/** One process of a deployment on loopback. */
+/** One process of a loopback deployment. */
 export interface DeploymentProcess {
   name: string;
   binary: "standin" | "steer" | "entry";
   settings: unknown;
 }
 
-/** Everything that runs. */
+/** Settings and documents of a loopback deployment. */
 export interface DeploymentFiles {
   processes: DeploymentProcess[];
-  /** Documents to put, by file name. */
+  /** Configuration documents; the file name is `name` plus `.jsonc`. */
   documents: { name: string; document: unknown }[];
   load: LoadSettings;
 }
--- a/src/deployment/whole_path_test.ts
+++ b/src/deployment/whole_path_test.ts
@@ -8,9 +8,14 @@
 import { keepLink } from "../runtime/peer_link.ts";
 import { createSystemClock } from "../runtime/clock.ts";
 import { daemonSettingsSchema } from "../runtime/settings.ts";
-import { PLATFORM } from "./generate.ts";
+import { PLATFORM_LINK_TARGET } from "./generate.ts";
 import { type RunningDeployment, startDeployment } from "./in_process.ts";
-import { makeSmallDeployment, pickBase, SERVICE, until } from "./fixture.ts";
+import {
+  makeSmallDeployment,
+  pickAddressBase,
+  SERVICE,
+  waitUntil,
+} from "./fixture.ts";
 
 const clock = createSystemClock();
 
@@ -40,11 +45,15 @@
 
 test.before.each(async (context) => {
   const deployment = makeSmallDeployment();
-  context.deployment = await startDeployment(deployment, clock, pickBase());
+  context.deployment = await startDeployment(
+    deployment,
+    clock,
+    pickAddressBase(),
+  );
   const steers = context.deployment.files.load.steers
     .map(({ caller }) => caller);
   context.caller = createCaller({ steers, clock });
-  await until(async () => {
+  await waitUntil(async () => {
     const result = await context.caller.call(lookup);
     return result.kind === "answer";
   });
@@ -68,16 +77,16 @@
   assert.is(result.kind, "answer", JSON.stringify(result));
 }
 
-test("request, edit, drain and graceful stop, one after the other", async (context) => {
+test("requests succeed through an edit, a drain and a graceful stop", async (context) => {
   const { caller, deployment } = context;
   assertAnswer(await caller.call(booking));
   await edit(context, { answerTtlMs: 250 });
-  await until(async () => await readTtl(context, "thies") === 250);
+  await waitUntil(async () => await readTtl(context, "thies") === 250);
   const [server] = deployment.backends.get("backends-thies-1")!.servers
     .values();
   const drains = [{ scope: "backendServer", name: server.settings.id }];
   await edit(context, { drains });
-  await until(async () => {
+  await waitUntil(async () => {
     const before = server.records.length;
     for (let count = 0; count < 8; count++) {
       assertAnswer(await caller.call(lookup));
@@ -94,7 +103,7 @@
   assert.is(new Set(keys).size, keys.length);
 });
 
-test("a caller has its own whole answer, run once", async (context) => {
+test("a caller gets its own complete answer, and the request runs once", async (context) => {
   const { caller, deployment } = context;
   const result = await caller.call(booking);
   assertAnswer(result);
@@ -107,12 +116,12 @@
   assert.is(runs[0].server, result.serverId);
 });
 
-test("an edited document drains a server; what is in flight ends", async ({ caller, deployment }) => {
+test("an edited document drains a server; requests in flight complete", async ({ caller, deployment }) => {
   const slow = [...deployment.backends.values()]
     .flatMap(({ servers }) => [...servers.values()]);
   for (const server of slow) server.faults.slowFactor = 20;
   const inFlight = Array.from({ length: 8 }, () => caller.call(lookup));
-  await until(() => slow.some((server) => server.inFlight() > 0));
+  await waitUntil(() => slow.some((server) => server.inFlight() > 0));
   const drained = slow.find((server) => server.inFlight() > 0)!;
   const key = getServiceKey(SERVICE);
   const read = (await deployment.store.read(key))._unsafeUnwrap();
@@ -127,7 +136,7 @@
   assert.is(put.outcome, "accepted");
   for (const result of await Promise.all(inFlight)) assertAnswer(result);
   for (const server of slow) server.faults.slowFactor = 1;
-  await until(async () => {
+  await waitUntil(async () => {
     const before = drained.records.length;
     for (let count = 0; count < 12; count++) {
       assertAnswer(await caller.call(lookup));
@@ -141,7 +150,7 @@
   const stopping = deployment.daemons.get("entry-thies-1-a")!.stop();
   let stopped = false;
   void stopping.then(() => stopped = true);
-  await until(() => {
+  await waitUntil(() => {
     results.push(caller.call(booking), caller.call(lookup));
     return stopped;
   });
@@ -155,14 +164,14 @@
   for (const server of servers) server.faults.slowFactor = 30;
   const before = listRuns(deployment).length;
   const called = caller.call(booking);
-  await until(() => listRuns(deployment).length > before);
+  await waitUntil(() => listRuns(deployment).length > before);
   const entries = ["entry-thies-1-a", "entry-thies-1-b"];
   await Promise.all(
     entries.map((name) => deployment.daemons.get(name)!.kill()),
   );
   const result = await called;
   assert.is(result.kind, "unknown", JSON.stringify(result));
-  await until(() => servers.every((server) => server.inFlight() === 0));
+  await waitUntil(() => servers.every((server) => server.inFlight() === 0));
   assert.is(listRuns(deployment).length, before + 1);
   await Promise.all(entries.map((name) => deployment.restart(name)));
 });
@@ -175,7 +184,7 @@
   deployment.platform.faults.down = false;
 });
 
-test("regions cut from each other both go on", async ({ caller, deployment }) => {
+test("both regions keep serving when the links between them are cut", async ({ caller, deployment }) => {
   deployment.network.setCut("thies", "kaolack", true);
   deployment.network.setCut("kaolack", "thies", true);
   for (const clientIp of ["10.1.7.7", "10.2.7.7"]) {
@@ -183,11 +192,11 @@
   }
 });
 
-/** A newer process of a VM, as far as its steers can tell. */
+/** Connects to a steer as a newer process of an entry VM would. */
 function startNewerProcess(deployment: RunningDeployment, vmId: string) {
-  const made = deployment.files.processes
+  const found = deployment.files.processes
     .find(({ name }) => name === `entry-${vmId}`)!;
-  const settings = daemonSettingsSchema.parse(made.settings);
+  const settings = daemonSettingsSchema.parse(found.settings);
   const { failureDomain, region } = settings;
   return keepLink(settings.seeds[1], {
     key: settings.peerKey,
@@ -215,6 +224,7 @@
   });
 }
 
+/** Changes fields of the service's document. */
 async function edit(
   { deployment }: Context,
   changes: Record<string, unknown>,
@@ -227,7 +237,7 @@
   (await deployment.store.put(put))._unsafeUnwrap();
 }
 
-/** Asks a steer of a region for the time to live that it has in force. */
+/** Reads the time to live, in ms, that a steer of a region has applied. */
 async function readTtl({ deployment }: Context, region: string) {
   const { caller } = deployment.files.load.steers
     .find((steer) => steer.region === region)!;
@@ -238,29 +248,29 @@
   return ttlMs;
 }
 
-test("a domain that lost the platform hears of an edit from its peers", async (context) => {
+test("a failure domain cut off from the platform gets an edit from its peers", async (context) => {
   const { network } = context.deployment;
-  network.setCut("thies-1", PLATFORM, true);
+  network.setCut("thies-1", PLATFORM_LINK_TARGET, true);
   await edit(context, { answerTtlMs: 400 });
-  await until(async () => await readTtl(context, "thies") === 400);
+  await waitUntil(async () => await readTtl(context, "thies") === 400);
 });
 
-test("a domain cut from all serves on, and obeys once it is joined", async (context) => {
+test("an isolated failure domain keeps serving, and applies edits once reconnected", async (context) => {
   const { caller, deployment: { network } } = context;
-  const links = [["thies-1", PLATFORM], ["thies", "kaolack"], [
+  const links = [["thies-1", PLATFORM_LINK_TARGET], ["thies", "kaolack"], [
     "kaolack",
     "thies",
   ]];
   for (const [from, to] of links) network.setCut(from, to, true);
   await edit(context, { answerTtlMs: 400 });
-  await until(async () => await readTtl(context, "kaolack") === 400);
+  await waitUntil(async () => await readTtl(context, "kaolack") === 400);
   assertAnswer(await caller.call(booking));
   assert.is(await readTtl(context, "thies"), 300);
   for (const [from, to] of links) network.setCut(from, to, false);
-  await until(async () => await readTtl(context, "thies") === 400);
+  await waitUntil(async () => await readTtl(context, "thies") === 400);
   await edit(context, { answerTtlMs: 500 });
   let highest = 0;
-  await until(async () => {
+  await waitUntil(async () => {
     const ttlMs = await readTtl(context, "thies");
     assert.ok(ttlMs >= highest, `${ttlMs} after ${highest}`);
     highest = ttlMs;
@@ -268,10 +278,10 @@
   });
 });
 
-test("a steer restarted while the table is down learns from its peers", async (context) => {
+test("a steer restarted while the table is down gets its documents from its peers", async (context) => {
   const { deployment } = context;
   await edit(context, { answerTtlMs: 400 });
-  await until(async () => await readTtl(context, "thies") === 400);
+  await waitUntil(async () => await readTtl(context, "thies") === 400);
   deployment.platform.faults.down = true;
   await deployment.daemons.get("steer-thies-1-a")!.kill();
   await deployment.restart("steer-thies-1-a");
@@ -279,7 +289,7 @@
   deployment.platform.faults.down = false;
 });
 
-test("a process whose VM was replaced learns so from its peers", async ({ deployment }) => {
+test("a process learns from its peers that a newer process has replaced it", async ({ deployment }) => {
   const old = deployment.daemons.get("entry-thies-1-a")!;
   const newer = startNewerProcess(deployment, "thies-1-a");
   await old.replaced;
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -1,5 +1,6 @@
 /**
- * Open-loop arrivals: when and what, independent of how answers come. Pure.
+ * Generates open-loop arrivals: the times and contents of calls, independent of
+ * the responses. Has no side effects.
  *
  * @module
  */
@@ -7,22 +8,27 @@
 import type { LoadSettings } from "../deployment/types.ts";
 import { drawExponential, type Random } from "../runtime/random.ts";
 
-/** A call that is due. */
+/** A call and the time at which it is due. */
 export interface Arrival {
-  /** Milliseconds after the start of the load. */
+  /** Due time, in ms after the start of the load. */
   atMs: number;
   call: Call;
+  /** Request class of the service. */
   className: string;
+  /** Weight of the class in the report. */
   weight: number;
 }
 
 type Service = LoadSettings["services"][number];
-type Mix = Service["mix"][number];
+type RequestMix = Service["mix"][number];
 
 /**
- * @param settings The load's settings.
+ * Generates the arrivals of a Poisson process. Service, class and region of
+ * each call are drawn by their shares, the client block uniformly.
+ *
+ * @param settings Settings of the load.
  * @param random The random source.
- * @returns An endless sequence of arrivals of a Poisson process.
+ * @returns An endless sequence, in order of `atMs`.
  */
 export function* generateArrivals(
   settings: LoadSettings,
@@ -32,8 +38,8 @@
   let atMs = 0;
   for (;;) {
     atMs += drawExponential(random, meanGapMs);
-    const service = drawByShare(random, settings.services);
-    const mix = drawByShare(random, service.mix);
+    const service = pickByShare(random, settings.services);
+    const mix = pickByShare(random, service.mix);
     const call = makeCall(settings, { service, mix }, random);
     yield { atMs, call, className: mix.class, weight: mix.weight };
   }
@@ -41,12 +47,15 @@
 
 function makeCall(
   settings: LoadSettings,
-  { service, mix }: { service: Service; mix: Mix },
+  { service, mix }: { service: Service; mix: RequestMix },
   random: Random,
 ): Call {
-  const region = drawByShare(
+  const region = pickByShare(
     random,
-    settings.regions.map((made) => ({ ...made, share: made.demandShare })),
+    settings.regions.map((regionSettings) => ({
+      ...regionSettings,
+      share: regionSettings.demandShare,
+    })),
   );
   const block = Math.floor(random() * settings.clientBlocksPerRegion);
   return {
@@ -61,15 +70,16 @@
   };
 }
 
-function drawByShare<T extends { share: number }>(
+/** Draws an item with a probability proportional to its share. */
+function pickByShare<T extends { share: number }>(
   random: Random,
   items: readonly T[],
 ): T {
   const total = items.reduce((sum, { share }) => sum + share, 0);
-  let left = random() * total;
+  let remaining = random() * total;
   for (const item of items) {
-    left -= item.share;
-    if (left < 0) return item;
+    remaining -= item.share;
+    if (remaining < 0) return item;
   }
   return items[items.length - 1];
 }
--- a/src/load/control_cost.ts
+++ b/src/load/control_cost.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what control costs daemons that carry no load: bytes on peer links,
- * processor time, memory, calls of the platform, and the time until an edit is
- * in force everywhere.
+ * Measures the overhead of the control plane on idle daemons: bytes on peer
+ * links, CPU time, memory, platform calls, and the time until every daemon has
+ * applied an edited document.
  *
  * @module
  */
@@ -14,98 +14,116 @@
 import { KEY_HEADER } from "../runtime/access.ts";
 import { type Clock, pause } from "../runtime/clock.ts";
 import type { PlatformCounts } from "../standin/platform.ts";
-import { startConfigWatch } from "./evidence.ts";
+import { startConfigWatch } from "./collect.ts";
 
-/** Time after the start in which daemons settle. */
+/** Delay before the first sample, so that start-up traffic isn't measured. */
 const SETTLE_MS = 8_000;
-/** Edits whose way is timed. */
-const EDITS = 5;
+/** Edits whose propagation is measured. */
+const EDIT_COUNT = 5;
 
-/** Mean and highest of a figure over daemons. */
-export interface Spread {
+/** Mean and maximum of a value over daemons. */
+export interface MeanAndMax {
   mean: number;
   highest: number;
 }
 
-/** Cost for each role. */
+/** Overhead of the daemons of one role. */
 export interface RoleCost {
   daemons: number;
-  sentBytesPerS: Spread;
-  receivedBytesPerS: Spread;
-  cpuShare: Spread;
-  rssMb: Spread;
+  sentBytesPerS: MeanAndMax;
+  receivedBytesPerS: MeanAndMax;
+  cpuShare: MeanAndMax;
+  rssMb: MeanAndMax;
 }
 
-/** What control costs. */
+/** Overhead of the control plane. */
 export interface ControlCost {
   daemons: number;
+  /** Time between the two samples, in s. */
   durationS: number;
   steer: RoleCost;
   entry: RoleCost;
-  /** The daemon that sends most, with bytes a second by kind of message. */
+  /**
+   * The daemon that sends the most, with its bytes per second by message kind.
+   */
   busiest: { id: string; sentBytesPerS: Record<string, number> };
   platformReadsPerS: number;
   platformWritesPerS: number;
-  configInForceMs: Spread;
+  /** Time until every daemon had applied an edit, in ms. */
+  configInForceMs: MeanAndMax;
 }
 
-interface Sample {
+/** Counters of one daemon at one time. */
+interface DaemonSample {
   id: string;
   sentByKind: Record<string, number>;
   role: "steer" | "entry";
   atMs: number;
+  /** CPU time and memory of the process. */
   use: ProcessUse;
   sentBytes: number;
   receivedBytes: number;
 }
 
 /**
+ * Waits until all daemons are ready, samples them `durationS` apart, then
+ * measures how long edits take to be applied. The edits append a space to the
+ * first service's document.
+ *
  * @param settings Settings of the deployment's load.
  * @param clock The clock.
- * @returns The cost.
+ * @returns The overhead by role and for the platform.
+ * @throws StepError of kind `refused` where a daemon isn't ready within 60 s.
  */
-export async function measureControl(
+export async function measureControlCost(
   settings: LoadSettings,
   clock: Clock,
 ): Promise<ControlCost> {
   const watch = startConfigWatch({ ...settings, clock });
-  await watch.waitUntilUp();
+  await watch.waitUntilReady();
   watch.close();
   await pause(clock, SETTLE_MS);
-  const before = await sampleAll(settings, clock);
-  const callsBefore = await readCounts(settings);
+  const before = await sampleDaemons(settings, clock);
+  const callsBefore = await readPlatformCounts(settings);
   await pause(clock, settings.durationS * 1_000);
-  const after = await sampleAll(settings, clock);
-  const callsAfter = await readCounts(settings);
+  const after = await sampleDaemons(settings, clock);
+  const callsAfter = await readPlatformCounts(settings);
   const durationS = (after[0].atMs - before[0].atMs) / 1_000;
   return {
     daemons: before.length,
     durationS,
-    steer: makeRoleCost("steer", before, after),
-    entry: makeRoleCost("entry", before, after),
-    busiest: findBusiest(before, after),
+    steer: computeRoleCost("steer", before, after),
+    entry: computeRoleCost("entry", before, after),
+    busiest: findBusiestDaemon(before, after),
     platformReadsPerS: (callsAfter.reads - callsBefore.reads) / durationS,
     platformWritesPerS: (callsAfter.writes - callsBefore.writes) / durationS,
-    configInForceMs: await timeEdits(settings, clock),
+    configInForceMs: await measureEditPropagation(settings, clock),
   };
 }
 
-async function readCounts(settings: LoadSettings): Promise<PlatformCounts> {
+async function readPlatformCounts(
+  settings: LoadSettings,
+): Promise<PlatformCounts> {
   const response = await request(`${settings.platformUrl}/admin/counts`);
   return await response.body.json() as PlatformCounts;
 }
 
-function sampleAll(settings: LoadSettings, clock: Clock): Promise<Sample[]> {
+function sampleDaemons(
+  settings: LoadSettings,
+  clock: Clock,
+): Promise<DaemonSample[]> {
   return Promise.all(
-    settings.operators.map((operator) => sample(operator, settings, clock)),
+    settings.operators.map((operator) =>
+      sampleDaemon(operator, settings, clock)
+    ),
   );
 }
 
-async function sample(
+async function sampleDaemon(
   operator: string,
   settings: LoadSettings,
   clock: Clock,
-): Promise<Sample> {
+): Promise<DaemonSample> {
   const response = await request(`http://${operator}/v1/dump`, {
     headers: { [KEY_HEADER]: settings.operatorKey },
   });
@@ -113,43 +131,54 @@
     process: ProcessUse;
     control: {
       self: { id: string; role: "steer" | "entry" };
-      linkTraffic: Pick<Sample, "sentBytes" | "receivedBytes" | "sentByKind">;
+      linkTraffic: Pick<
+        DaemonSample,
+        "sentBytes" | "receivedBytes" | "sentByKind"
+      >;
     };
   };
   const { id, role } = control.self;
-  return { id, role, atMs: clock.monotonicMs(), use, ...control.linkTraffic };
+  return {
+    id,
+    role,
+    atMs: clock.monotonicMs(),
+    use,
+    ...control.linkTraffic,
+  };
 }
 
-function makeRoleCost(
-  role: Sample["role"],
-  before: readonly Sample[],
-  after: readonly Sample[],
+function computeRoleCost(
+  role: DaemonSample["role"],
+  before: readonly DaemonSample[],
+  after: readonly DaemonSample[],
 ): RoleCost {
   const pairs = before
     .map((first, index) => ({ first, last: after[index] }))
     .filter(({ first }) => first.role === role);
-  const perS = (value: (sample: Sample) => number) =>
-    spread(
+  const computeRates = (getValue: (sample: DaemonSample) => number) =>
+    computeMeanAndMax(
       pairs.map(({ first, last }) =>
-        (value(last) - value(first)) * 1_000 / (last.atMs - first.atMs)
+        (getValue(last) - getValue(first)) * 1_000 / (last.atMs - first.atMs)
       ),
     );
-  const cpuMsPerS = perS(({ use }) => use.cpuMs);
+  const cpuMsPerS = computeRates(({ use }) => use.cpuMs);
   return {
     daemons: pairs.length,
-    sentBytesPerS: perS(({ sentBytes }) => sentBytes),
-    receivedBytesPerS: perS(({ receivedBytes }) => receivedBytes),
+    sentBytesPerS: computeRates(({ sentBytes }) => sentBytes),
+    receivedBytesPerS: computeRates(({ receivedBytes }) => receivedBytes),
     cpuShare: {
       mean: cpuMsPerS.mean / 1_000,
       highest: cpuMsPerS.highest / 1_000,
     },
-    rssMb: spread(pairs.map(({ last }) => last.use.rssBytes / 1_048_576)),
+    rssMb: computeMeanAndMax(
+      pairs.map(({ last }) => last.use.rssBytes / 1_048_576),
+    ),
   };
 }
 
-function findBusiest(
-  before: readonly Sample[],
-  after: readonly Sample[],
+function findBusiestDaemon(
+  before: readonly DaemonSample[],
+  after: readonly DaemonSample[],
 ): ControlCost["busiest"] {
   const rates = before.map((first, index) => {
     const last = after[index];
@@ -161,38 +190,38 @@
     const sent = (last.sentBytes - first.sentBytes) / seconds;
     return { id: first.id, sent, byKind: Object.fromEntries(byKind) };
   });
-  const [most] = rates.sort((a, b) => b.sent - a.sent);
-  return { id: most.id, sentBytesPerS: most.byKind };
+  const [busiest] = rates.sort((a, b) => b.sent - a.sent);
+  return { id: busiest.id, sentBytesPerS: busiest.byKind };
 }
 
-function spread(values: readonly number[]): Spread {
+function computeMeanAndMax(values: readonly number[]): MeanAndMax {
   const sum = values.reduce((total, value) => total + value, 0);
   return { mean: sum / values.length, highest: Math.max(...values) };
 }
 
-async function timeEdits(
+async function measureEditPropagation(
   settings: LoadSettings,
   clock: Clock,
-): Promise<Spread> {
+): Promise<MeanAndMax> {
   const platform = createPlatformClient(settings.platformUrl);
   const store = createDocumentStore(platform.table, clock);
   const watch = startConfigWatch({ ...settings, clock });
   const name = settings.services[0].name;
   const key = getServiceKey(name);
-  const times: number[] = [];
-  for (let count = 0; count < EDITS; count++) {
-    const read = (await store.read(key))._unsafeUnwrap();
-    const put = (await store.put({
+  const durationsMs: number[] = [];
+  for (let count = 0; count < EDIT_COUNT; count++) {
+    const current = (await store.read(key))._unsafeUnwrap();
+    const result = (await store.put({
       key,
-      text: `${read.stored!.text} `,
+      text: `${current.stored!.text} `,
       author: "load",
-      editedFrom: read.rowVersion,
+      editedFrom: current.rowVersion,
     }))._unsafeUnwrap();
-    if (put.outcome !== "accepted") continue;
-    times.push(await watch.waitFor(name, put.number));
+    if (result.outcome !== "accepted") continue;
+    durationsMs.push(await watch.waitUntilApplied(name, result.number));
     await pause(clock, 300);
   }
   watch.close();
   await platform.close();
-  return spread(times);
+  return computeMeanAndMax(durationsMs);
 }
--- a/src/load/html.ts
+++ b/src/load/html.ts
@@ -1,5 +1,6 @@
 /**
- * A report as one HTML page with plots, without outside files. Pure.
+ * Renders a report as a self-contained HTML page with plots. Has no side
+ * effects.
  *
  * @module
  */
@@ -10,16 +11,21 @@
 const HEIGHT = 180;
 const MARGIN = 40;
 
+/** One line of a plot. */
 interface Series {
   name: string;
   points: { x: number; y: number }[];
 }
 
 /**
- * @param report The figures.
- * @param calls Calls, for latency over time.
- * @param backends Runs, for requests by region over time.
- * @returns The page.
+ * Renders a report with plots of latency and of requests by region.
+ *
+ * @param report The report, listed as a table.
+ * @param records Records that the plots show.
+ * @param records.calls Calls, for the latency over time.
+ * @param records.backends Backend reports, for the requests by region over
+ * time.
+ * @returns The HTML page.
  */
 export function renderReport(
   report: Report,
@@ -42,9 +48,9 @@
 <body><h1>${escape(report.deployment)}, ${report.durationS} s</h1>
 <h2>Latency in each second (ms)</h2>
 ${plot(makeLatencySeries(calls, startMs))}
-<h2>Requests begun in each second, by region</h2>
+<h2>Requests started in each second, by region</h2>
 ${plot(makeRegionSeries(backends, startMs))}
-<h2>Figures</h2><table>${rows}</table></body></html>
+<h2>Results</h2><table>${rows}</table></body></html>
 `;
 }
 
@@ -58,11 +64,11 @@
     const second = Math.floor((dueMs - startMs) / 1_000);
     bySecond.set(second, [...bySecond.get(second) ?? [], latencyMs]);
   }
-  return [["p50", 0.5], ["p99", 0.99]].map(([name, part]) => ({
+  return [["p50", 0.5], ["p99", 0.99]].map(([name, quantile]) => ({
     name: String(name),
     points: [...bySecond].sort(([a], [b]) => a - b).map(([second, values]) => {
       const sorted = values.sort((a, b) => a - b);
-      const index = Math.floor((sorted.length - 1) * Number(part));
+      const index = Math.floor((sorted.length - 1) * Number(quantile));
       return { x: second, y: sorted[index] };
     }),
   }));
@@ -74,19 +80,23 @@
 ): Series[] {
   const counts = new Map<string, Map<number, number>>();
   for (const { region, records } of backends) {
-    const own = counts.get(region) ?? new Map<number, number>();
-    counts.set(region, own);
+    const perSecond = counts.get(region) ?? new Map<number, number>();
+    counts.set(region, perSecond);
     for (const record of records) {
       const second = Math.floor((record.startMs - startMs) / 1_000);
-      own.set(second, (own.get(second) ?? 0) + 1);
+      perSecond.set(second, (perSecond.get(second) ?? 0) + 1);
     }
   }
-  return [...counts].map(([name, own]) => ({
+  return [...counts].map(([name, perSecond]) => ({
     name,
-    points: [...own].sort(([a], [b]) => a - b).map(([x, y]) => ({ x, y })),
+    points: [...perSecond].sort(([a], [b]) => a - b).map(([x, y]) => ({
+      x,
+      y,
+    })),
   }));
 }
 
+/** Draws line plots with a common scale as an SVG element. */
 function plot(series: Series[]): string {
   const points = series.flatMap((one) => one.points);
   const maxX = Math.max(1, ...points.map(({ x }) => x));
@@ -109,12 +119,13 @@
 ${lines.join("\n")}</svg>`;
 }
 
+/** Lists the leaves of an object by their path, such as `latencyMs.p50`. */
 function flatten(value: object, prefix = ""): Record<string, string> {
   const flat: Record<string, string> = {};
-  for (const [name, part] of Object.entries(value)) {
-    if (typeof part === "object" && part !== null) {
-      Object.assign(flat, flatten(part, `${prefix}${name}.`));
-    } else flat[`${prefix}${name}`] = String(part);
+  for (const [name, item] of Object.entries(value)) {
+    if (typeof item === "object" && item !== null) {
+      Object.assign(flat, flatten(item, `${prefix}${name}.`));
+    } else flat[`${prefix}${name}`] = String(item);
   }
   return flat;
 }
--- a/src/load/measure.ts
+++ b/src/load/measure.ts
@@ -1,49 +1,55 @@
 /**
- * Works out a report from the callers' and backend servers' own records. Pure.
+ * Computes a report from the records of callers, backend servers and links. Has
+ * no side effects.
  *
  * @module
  */
 import { build } from "hdr-histogram-js";
-import { PLATFORM } from "../deployment/generate.ts";
+import { PLATFORM_LINK_TARGET } from "../deployment/generate.ts";
 import type { LoadSettings } from "../deployment/types.ts";
 import type { BackendReport } from "../standin/backends.ts";
 import type { RunRecord } from "../standin/backend_server.ts";
-import type { LinkSecond } from "../standin/network.ts";
+import type { LinkTrafficSample } from "../standin/network.ts";
 import type { CallRecord, Invariants, Report } from "./types.ts";
 
-/** A backend server that was drained during the run. */
-export interface DrainEvidence {
+/** The drain of a backend server during the run. */
+export interface DrainPeriod {
   server: string;
-  /** When the edit was accepted, in ms since the epoch. */
+  /** When the edit was accepted, in ms since the Unix epoch. */
   startMs: number;
-  /** When the drain was taken back, in ms since the epoch. */
+  /** When the drain was taken back, in ms since the Unix epoch. */
   endMs: number;
 }
 
-/** All that was recorded. */
-export interface Evidence {
+/** All records of a load run. */
+export interface RunData {
   settings: LoadSettings;
   calls: readonly CallRecord[];
   backends: readonly BackendReport[];
-  links: readonly LinkSecond[];
-  drain: DrainEvidence | undefined;
+  links: readonly LinkTrafficSample[];
+  drain: DrainPeriod | undefined;
+  /** Time until every daemon had applied the drain edit, in ms. */
   configInForceMs: number;
+  /** Times that a daemon reported an older document version than before. */
   configReverts: number;
+  /** Caller connections that broke with a request in flight. */
   cutOffInFlight: number;
 }
 
-/** Time that a drain may take to be in force. */
+/** Time allowed until a drain is applied. */
 const DRAIN_GRACE_MS = 2_000;
-/** Width of the windows in which a region's use is averaged. */
-const USE_WINDOW_MS = 1_000;
+/** Window over which a region's utilization is averaged. */
+const UTILIZATION_WINDOW_MS = 1_000;
 
 /**
- * @param evidence All that was recorded.
+ * Computes the report of a load run.
+ *
+ * @param data All records of the run.
  * @returns The report.
  */
-export function makeReport(evidence: Evidence): Report {
-  const { settings, calls } = evidence;
-  const shift = measureLargestShift(evidence);
+export function makeReport(data: RunData): Report {
+  const { settings, calls } = data;
+  const shift = measureLargestShift(data);
   const count = (kind: CallRecord["result"]["kind"]) =>
     calls.filter(({ result }) => result.kind === kind).length;
   return {
@@ -55,19 +61,21 @@
       notRun: count("not_run"),
       unknown: count("unknown"),
     },
-    answeredInTimeShare: measureInTime(calls),
-    latencyMs: measureLatency(calls),
-    minRegionHeadroomShare: measureRegionHeadroom(evidence.backends),
-    minLinkHeadroomShare: measureLinkHeadroom(evidence),
-    maxDrainMs: measureDrain(evidence),
-    configInForceMs: evidence.configInForceMs,
-    largestShiftOverCap: shift.largestOverCap,
-    reasons: countReasons(calls),
-    invariants: countInvariants(evidence, shift.overCapWindows),
+    answeredInTimeShare: computeAnsweredInTimeShare(calls),
+    latencyMs: computeLatency(calls),
+    minRegionHeadroomShare: computeRegionHeadroom(data.backends),
+    minLinkHeadroomShare: computeLinkHeadroom(data),
+    maxDrainMs: computeDrainMs(data),
+    configInForceMs: data.configInForceMs,
+    largestShiftOverCap: shift.maxShiftToCapRatio,
+    reasons: countFailureReasons(calls),
+    invariants: countInvariants(data, shift.overCapWindows),
   };
 }
 
-function countReasons(calls: readonly CallRecord[]): Record<string, number> {
+function countFailureReasons(
+  calls: readonly CallRecord[],
+): Record<string, number> {
   const counts: Record<string, number> = {};
   for (const { result } of calls) {
     if (result.kind === "answer") continue;
@@ -76,14 +84,17 @@
   return counts;
 }
 
-/** @returns Whether a call had a sound answer before its deadline. */
+/**
+ * @param call Record of the call.
+ * @returns Whether it was answered with a status below 500 before its deadline.
+ */
 export function isInTime(call: CallRecord): boolean {
   const { result } = call;
   return result.kind === "answer" && result.status < 500 &&
     call.latencyMs <= call.deadlineMs;
 }
 
-function measureInTime(calls: readonly CallRecord[]): number {
+function computeAnsweredInTimeShare(calls: readonly CallRecord[]): number {
   let inTime = 0;
   let all = 0;
   for (const call of calls) {
@@ -93,7 +104,7 @@
   return all > 0 ? inTime / all : 0;
 }
 
-function measureLatency(calls: readonly CallRecord[]): Report["latencyMs"] {
+function computeLatency(calls: readonly CallRecord[]): Report["latencyMs"] {
   const histogram = build({
     highestTrackableValue: 120_000_000,
     numberOfSignificantValueDigits: 3,
@@ -108,27 +119,27 @@
 }
 
 function countInvariants(
-  evidence: Evidence,
+  data: RunData,
   overCapShifts: number,
 ): Invariants {
-  const { calls, backends } = evidence;
+  const { calls, backends } = data;
   const runs = backends.flatMap(({ records }) => records);
   const ran = new Set(runs.map(({ requestId }) => requestId));
   return {
     duplicateRuns: countDuplicates(runs),
-    crossedAnswers: calls.filter(isCrossed).length,
+    crossedAnswers: calls.filter(isCrossedAnswer).length,
     falselyNotRun:
       calls.filter(({ result }) =>
         result.kind === "not_run" && ran.has(result.requestId)
       ).length,
-    cutOffInFlight: evidence.cutOffInFlight,
+    cutOffInFlight: data.cutOffInFlight,
     overCapShifts,
     overloadedRegions: new Set(
       backends.filter(({ peak, slots }) => peak > slots)
         .map(({ region }) => region),
     ).size,
-    workAfterLeaving: countWorkAfterLeaving(evidence),
-    configReverts: evidence.configReverts,
+    workAfterLeaving: countWorkAfterLeaving(data),
+    configReverts: data.configReverts,
   };
 }
 
@@ -140,7 +151,8 @@
   return [...perKey.values()].filter((count) => count > 1).length;
 }
 
-function isCrossed({ result, path }: CallRecord): boolean {
+/** @returns Whether an answer is truncated or belongs to another request. */
+function isCrossedAnswer({ result, path }: CallRecord): boolean {
   if (result.kind !== "answer" || result.status >= 500) return false;
   try {
     const body = JSON.parse(result.body.toString("utf8"));
@@ -150,7 +162,7 @@
   }
 }
 
-function countWorkAfterLeaving({ backends, drain }: Evidence): number {
+function countWorkAfterLeaving({ backends, drain }: RunData): number {
   if (drain === undefined) return 0;
   return backends.flatMap(({ records }) => records)
     .filter(({ server, startMs }) =>
@@ -159,8 +171,11 @@
     ).length;
 }
 
-/** From the accepted edit until the server's last request ended. */
-function measureDrain({ backends, drain }: Evidence): number {
+/**
+ * @returns Time from the accepted edit until the server's last request ended,
+ * in ms.
+ */
+function computeDrainMs({ backends, drain }: RunData): number {
   if (drain === undefined) return 0;
   const ends = backends.flatMap(({ records }) => records)
     .filter(({ server, startMs, endMs }) =>
@@ -170,84 +185,91 @@
   return Math.max(0, ...ends);
 }
 
-function measureRegionHeadroom(backends: readonly BackendReport[]): number {
+function computeRegionHeadroom(backends: readonly BackendReport[]): number {
   const slots = new Map<string, number>();
   const busyMs = new Map<string, number>();
   for (const { region, slots: own, records } of backends) {
     slots.set(region, (slots.get(region) ?? 0) + own);
     for (const { startMs, endMs } of records) {
-      spreadBusy(busyMs, region, { startMs, endMs });
+      addBusyTime(busyMs, region, { startMs, endMs });
     }
   }
-  const uses = [...busyMs].map(([key, busy]) => {
+  const utilizations = [...busyMs].map(([key, busy]) => {
     const region = key.slice(0, key.lastIndexOf(" "));
-    return busy / USE_WINDOW_MS / (slots.get(region) ?? 1);
+    return busy / UTILIZATION_WINDOW_MS / (slots.get(region) ?? 1);
   });
-  return 1 - Math.max(0, ...uses);
+  return 1 - Math.max(0, ...utilizations);
 }
 
-function spreadBusy(
+/** Adds the time of one request to the windows that it spans. */
+function addBusyTime(
   busyMs: Map<string, number>,
   region: string,
   { startMs, endMs }: { startMs: number; endMs: number },
 ): void {
-  const first = Math.floor(startMs / USE_WINDOW_MS);
-  const last = Math.floor(Math.max(startMs, endMs) / USE_WINDOW_MS);
+  const first = Math.floor(startMs / UTILIZATION_WINDOW_MS);
+  const last = Math.floor(Math.max(startMs, endMs) / UTILIZATION_WINDOW_MS);
   for (let window = first; window <= last; window++) {
-    const from = Math.max(startMs, window * USE_WINDOW_MS);
-    const to = Math.min(endMs, (window + 1) * USE_WINDOW_MS);
+    const from = Math.max(startMs, window * UTILIZATION_WINDOW_MS);
+    const to = Math.min(endMs, (window + 1) * UTILIZATION_WINDOW_MS);
     const key = `${region} ${window}`;
     busyMs.set(key, (busyMs.get(key) ?? 0) + Math.max(0, to - from));
   }
 }
 
-function measureLinkHeadroom({ links, settings }: Evidence): number {
-  const between = links.filter(({ to }) => to !== PLATFORM);
-  const most = Math.max(0, ...between.map(({ bytes }) => bytes));
-  return 1 - most / settings.linkLimitBytesPerS;
+function computeLinkHeadroom({ links, settings }: RunData): number {
+  const regionLinks = links.filter(({ to }) => to !== PLATFORM_LINK_TARGET);
+  const maxBytes = Math.max(0, ...regionLinks.map(({ bytes }) => bytes));
+  return 1 - maxBytes / settings.linkLimitBytesPerS;
 }
 
-/** Shifts over the caps. */
-export interface ShiftFinding {
-  /** Windows in which a service's shift was over its cap. */
+/** Shifts of traffic between regions, compared with the caps. */
+export interface ShiftStats {
+  /** Windows in which a service's shift exceeded its cap. */
   overCapWindows: number;
-  /** Largest shift in a window as a multiple of the cap. */
-  largestOverCap: number;
+  /** Largest shift in a window, as a multiple of the cap. */
+  maxShiftToCapRatio: number;
 }
 
 /**
- * Counts, for each window, the share of a service's traffic whose region at the
- * end differs from that at the start, as the callers saw it.
+ * Computes, for each window and service, the share of traffic of client blocks
+ * that were served by one region before the window and by another at its end,
+ * as the callers observed it. Windows start every second.
  *
- * @param evidence Records of calls.
- * @returns What was found.
+ * @param data Settings of the load and records of calls.
+ * @returns The largest shift, and the number of windows over the cap.
  */
 export function measureLargestShift(
-  { settings, calls }: Pick<Evidence, "settings" | "calls">,
-): ShiftFinding {
-  const found: ShiftFinding = { overCapWindows: 0, largestOverCap: 0 };
+  { settings, calls }: Pick<RunData, "settings" | "calls">,
+): ShiftStats {
+  const stats: ShiftStats = { overCapWindows: 0, maxShiftToCapRatio: 0 };
   for (const { name, cap } of settings.services) {
-    const runs = listPlacedRuns(settings, calls, name);
-    if (runs.length === 0) continue;
+    const placedCalls = listPlacedCalls(settings, calls, name);
+    if (placedCalls.length === 0) continue;
     const windowMs = cap.windowS * 1_000;
-    const endMs = runs[runs.length - 1].startMs;
-    for (let ms = runs[0].startMs; ms < endMs; ms += USE_WINDOW_MS) {
-      const overCap = measureWindow(runs, ms, ms + windowMs) / cap.maxShare;
-      found.largestOverCap = Math.max(found.largestOverCap, overCap);
-      if (overCap > 1) found.overCapWindows += 1;
+    const endMs = placedCalls[placedCalls.length - 1].startMs;
+    for (
+      let ms = placedCalls[0].startMs;
+      ms < endMs;
+      ms += UTILIZATION_WINDOW_MS
+    ) {
+      const ratio = computeMovedShare(placedCalls, ms, ms + windowMs) /
+        cap.maxShare;
+      stats.maxShiftToCapRatio = Math.max(stats.maxShiftToCapRatio, ratio);
+      if (ratio > 1) stats.overCapWindows += 1;
     }
   }
-  return found;
+  return stats;
 }
 
-function listPlacedRuns(
+function listPlacedCalls(
   settings: LoadSettings,
   calls: readonly CallRecord[],
   name: string,
-): PlacedRun[] {
+): PlacedCall[] {
   return calls
     .filter(({ service }) => service === name)
-    .map(({ clientIp, dueMs, result }): PlacedRun => ({
+    .map(({ clientIp, dueMs, result }): PlacedCall => ({
       region: result.kind === "answer"
         ? settings.serverRegions[result.serverId]
         : undefined,
@@ -257,22 +279,23 @@
     .sort((a, b) => a.startMs - b.startMs);
 }
 
-interface PlacedRun {
-  /** Absent where the call was refused: it is traffic, but ran nowhere. */
+/** A call and the region that served it. */
+interface PlacedCall {
+  /** Undefined for a call without an answer, which still counts as traffic. */
   region: string | undefined;
   block: string;
   startMs: number;
 }
 
-function measureWindow(
-  runs: readonly PlacedRun[],
+function computeMovedShare(
+  placedCalls: readonly PlacedCall[],
   fromMs: number,
   toMs: number,
 ): number {
   const before = new Map<string, string>();
   const after = new Map<string, string>();
   const traffic = new Map<string, number>();
-  for (const { region, block, startMs } of runs) {
+  for (const { region, block, startMs } of placedCalls) {
     if (startMs > toMs) break;
     const isInside = startMs > fromMs;
     if (isInside) traffic.set(block, (traffic.get(block) ?? 0) + 1);
--- a/src/load/measure_test.ts
+++ b/src/load/measure_test.ts
@@ -5,7 +5,7 @@
 import type { LoadSettings } from "../deployment/types.ts";
 import type { BackendReport } from "../standin/backends.ts";
 import type { RunRecord } from "../standin/backend_server.ts";
-import { type Evidence, makeReport, measureLargestShift } from "./measure.ts";
+import { makeReport, measureLargestShift, type RunData } from "./measure.ts";
 import type { CallRecord } from "./types.ts";
 
 const settings = {
@@ -65,7 +65,7 @@
   };
 }
 
-function report(changes: Partial<Evidence>) {
+function report(changes: Partial<RunData>) {
   return makeReport({
     settings,
     calls: [],
@@ -89,7 +89,7 @@
   assert.is(report({ calls }).answeredInTimeShare, 2 / 5);
 });
 
-const broken: [string, Partial<Evidence>, string][] = [
+const broken: [string, Partial<RunData>, string][] = [
   [
     "a key that ran twice",
     { backends: [makeBackend([{ key: "k" }, { key: "k" }])] },
@@ -113,7 +113,7 @@
     "crossedAnswers",
   ],
   [
-    "a request called not run that ran",
+    "a request that ran but was reported as not run",
     {
       calls: [makeCall(1, { kind: "not_run" })],
       backends: [makeBackend([{ requestId: "r1" }])],
@@ -121,12 +121,12 @@
     "falselyNotRun",
   ],
   [
-    "more at a server than its slots",
+    "more requests at a server than its slots",
     { backends: [makeBackend([], 3)] },
     "overloadedRegions",
   ],
   [
-    "work begun after a drain",
+    "a request started after a drain",
     {
       backends: [makeBackend([{ startMs: 13_001 }])],
       drain: { server: "a-1", startMs: 11_000, endMs: 20_000 },
@@ -135,15 +135,18 @@
   ],
 ];
 
-for (const [name, evidence, invariant] of broken) {
+for (const [name, data, invariant] of broken) {
   test(`${name} is counted as ${invariant}`, () => {
-    const counted = Object.entries(report(evidence).invariants)
+    const counted = Object.entries(report(data).invariants)
       .filter(([, count]) => count > 0);
     assert.equal(counted, [[invariant, 1]]);
   });
 }
 
-/** Ten blocks in region a; later some are in b, and some are refused. */
+/**
+ * Calls of ten client blocks in region a; later some are in b, and some are
+ * refused.
+ */
 function makeShift(moved: number, refused: number): CallRecord[] {
   return Array.from({ length: 20 }, (_, index) => {
     const block = index % 10;
@@ -163,11 +166,11 @@
 test("a shift is the share of all traffic, refused traffic included", () => {
   const at = (moved: number, refused: number) =>
     measureLargestShift({ settings, calls: makeShift(moved, refused) });
-  assert.is(at(0, 0).largestOverCap, 0);
-  assert.equal(at(1, 0), { overCapWindows: 0, largestOverCap: 1 });
-  assert.equal(at(1, 5), { overCapWindows: 0, largestOverCap: 1 });
+  assert.is(at(0, 0).maxShiftToCapRatio, 0);
+  assert.equal(at(1, 0), { overCapWindows: 0, maxShiftToCapRatio: 1 });
+  assert.equal(at(1, 5), { overCapWindows: 0, maxShiftToCapRatio: 1 });
   const two = at(2, 0);
-  assert.ok(two.overCapWindows > 0 && two.largestOverCap === 2);
+  assert.ok(two.overCapWindows > 0 && two.maxShiftToCapRatio === 2);
 });
 
 test("drain time ends with the server's last request", () => {
--- a/src/load/path_cost.ts
+++ b/src/load/path_cost.ts
@@ -1,10 +1,10 @@
 /**
- * Measures what the system adds to a request, and how many look-ups a steer
- * answers, against a deployment that is up.
+ * Measures the latency that an entry adds to a request, and the look-up
+ * throughput of a steer, in a running deployment.
  *
- * Requests go in turn straight to a backend server and through an entry, in one
- * run; backend servers are told to be quick, so that their own time does not
- * hide what is added.
+ * Each request goes at random either directly to a backend server or through an
+ * entry, so that both paths are measured under the same conditions. Service
+ * times are shortened, so that their variance doesn't hide the added latency.
  *
  * @module
  */
@@ -16,41 +16,50 @@
 import { type Clock, pause } from "../runtime/clock.ts";
 import { createId } from "../runtime/ids.ts";
 import { createRandom, drawExponential, pick } from "../runtime/random.ts";
-import { collectBackends, startConfigWatch } from "./evidence.ts";
+import { collectBackendReports, startConfigWatch } from "./collect.ts";
 
-/** Factor on the backend servers' service times. */
-const SLOW_FACTOR = 0.05;
-const LOOKUP_RUN_MS = 4_000;
-const LOOKUPS_AT_ONCE = 32;
-/** Latencies are kept in hundredths of a millisecond. */
-const SCALE = 100;
+/** Factor on the service times of backend servers. */
+const SERVICE_TIME_FACTOR = 0.05;
+const LOOKUP_TEST_MS = 4_000;
+const LOOKUP_CONCURRENCY = 32;
+/** Histograms hold latencies in units of 0.01 ms. */
+const UNITS_PER_MS = 100;
 
-/** Latency of one way, in ms. */
-export interface WayCost {
+/** Latency of one request path. */
+export interface PathLatency {
   requests: number;
   p50Ms: number;
   p99Ms: number;
 }
 
-/** What was measured. */
+/** Latency of both paths, and look-up throughput. */
 export interface PathCost {
   requestsPerS: number;
-  direct: WayCost;
-  entry: WayCost;
+  /** Directly to a backend server. */
+  direct: PathLatency;
+  /** Through the first entry that a look-up returns. */
+  entry: PathLatency;
   addedP50Ms: number;
   addedP99Ms: number;
+  /** Successful look-ups per second at one steer. */
   lookupsPerS: number;
 }
 
+/** Where a request is sent. */
 interface Target {
   url: string;
   headers: Record<string, string>;
 }
 
 /**
+ * Waits until all daemons are ready, then measures the latency of both request
+ * paths for `durationS`, and the look-up throughput for 4 s. Changes the
+ * service times of the stand-in backend servers.
+ *
  * @param settings Settings of the deployment's load.
  * @param clock The clock.
- * @returns What the system adds.
+ * @returns The latency of both paths and the look-up throughput.
+ * @throws StepError of kind `refused` where a daemon isn't ready within 60 s.
  */
 export async function measurePathCost(
   settings: LoadSettings,
@@ -58,9 +67,9 @@
 ): Promise<PathCost> {
   const agent = new Agent({ connections: 64, pipelining: 1 });
   const watch = startConfigWatch({ ...settings, clock });
-  await watch.waitUntilUp();
+  await watch.waitUntilReady();
   watch.close();
-  await quicken(settings);
+  await shortenServiceTimes(settings);
   const targets = await listTargets(settings, agent);
   const direct = build({ numberOfSignificantValueDigits: 3 });
   const entry = build({ numberOfSignificantValueDigits: 3 });
@@ -75,34 +84,42 @@
     }
     const isDirect = random() < 0.5;
     const target = pick(random, isDirect ? targets.direct : targets.entry);
-    pending.push(time(target, { agent, clock }, isDirect ? direct : entry));
+    pending.push(
+      measureRequest(target, { agent, clock }, isDirect ? direct : entry),
+    );
     nextMs += drawExponential(random, 1_000 / settings.requestsPerS);
   }
   await Promise.all(pending);
-  const lookupsPerS = await measureLookups(settings, { agent, clock });
+  const lookupsPerS = await measureLookupRate(settings, { agent, clock });
   await agent.destroy();
-  const ways = { direct: describe(direct), entry: describe(entry) };
+  const latencies = {
+    direct: summarizeLatency(direct),
+    entry: summarizeLatency(entry),
+  };
   return {
     requestsPerS: settings.requestsPerS,
-    ...ways,
-    addedP50Ms: ways.entry.p50Ms - ways.direct.p50Ms,
-    addedP99Ms: ways.entry.p99Ms - ways.direct.p99Ms,
+    ...latencies,
+    addedP50Ms: latencies.entry.p50Ms - latencies.direct.p50Ms,
+    addedP99Ms: latencies.entry.p99Ms - latencies.direct.p99Ms,
     lookupsPerS,
   };
 }
 
-async function quicken(settings: LoadSettings): Promise<void> {
+async function shortenServiceTimes(settings: LoadSettings): Promise<void> {
   for (const admin of settings.backendAdmins) {
-    for (const { id } of await collectBackends([admin])) {
+    for (const { id } of await collectBackendReports([admin])) {
       await request(`http://${admin}/admin/servers/${id}`, {
         method: "PUT",
-        body: JSON.stringify({ slowFactor: SLOW_FACTOR }),
+        body: JSON.stringify({ slowFactor: SERVICE_TIME_FACTOR }),
       });
     }
   }
 }
 
-/** Own-region entries, and the backend servers of the same service. */
+/**
+ * Lists an entry for each region's clients, and the backend servers, of one
+ * service.
+ */
 async function listTargets(settings: LoadSettings, agent: Agent) {
   const { name, mix } = settings.services[0];
   const { path } = mix[0];
@@ -117,13 +134,14 @@
       headers: { [HEADERS.clientBlock]: answer.clientBlock },
     });
   }
-  const reports = await collectBackends(settings.backendAdmins);
+  const reports = await collectBackendReports(settings.backendAdmins);
   const direct = reports.filter(({ service }) => service === name)
     .map(({ address }) => ({ url: `http://${address}${path}`, headers: {} }));
   return { entry, direct };
 }
 
-async function time(
+/** Sends a request and records its latency if the status is 200. */
+async function measureRequest(
   { url, headers }: Target,
   { agent, clock }: { agent: Agent; clock: Clock },
   histogram: Histogram,
@@ -136,18 +154,18 @@
   await response.body.dump();
   if (response.statusCode !== 200) return;
   const latencyMs = clock.monotonicMs() - startMs;
-  histogram.recordValue(Math.max(1, Math.round(latencyMs * SCALE)));
+  histogram.recordValue(Math.max(1, Math.round(latencyMs * UNITS_PER_MS)));
 }
 
-function describe(histogram: Histogram): WayCost {
+function summarizeLatency(histogram: Histogram): PathLatency {
   return {
     requests: histogram.totalCount,
-    p50Ms: histogram.getValueAtPercentile(50) / SCALE,
-    p99Ms: histogram.getValueAtPercentile(99) / SCALE,
+    p50Ms: histogram.getValueAtPercentile(50) / UNITS_PER_MS,
+    p99Ms: histogram.getValueAtPercentile(99) / UNITS_PER_MS,
   };
 }
 
-async function measureLookups(
+async function measureLookupRate(
   settings: LoadSettings,
   { agent, clock }: { agent: Agent; clock: Clock },
 ): Promise<number> {
@@ -156,8 +174,8 @@
   const { clientPrefix } = settings.regions[0];
   const startMs = clock.monotonicMs();
   let answered = 0;
-  async function askAgain(worker: number): Promise<void> {
-    while (clock.monotonicMs() - startMs < LOOKUP_RUN_MS) {
+  async function sendLookups(worker: number): Promise<void> {
+    while (clock.monotonicMs() - startMs < LOOKUP_TEST_MS) {
       const client = `${clientPrefix}.${answered % 256}.${worker}`;
       const url = `http://${caller}/v1/lookup/${name}?client=${client}`;
       const response = await request(url, { dispatcher: agent });
@@ -166,8 +184,8 @@
     }
   }
   const workers = Array.from(
-    { length: LOOKUPS_AT_ONCE },
-    (_, w) => askAgain(w),
+    { length: LOOKUP_CONCURRENCY },
+    (_, w) => sendLookups(w),
   );
   await Promise.all(workers);
   return answered * 1_000 / (clock.monotonicMs() - startMs);
--- a/src/load/runner.ts
+++ b/src/load/runner.ts
@@ -1,5 +1,6 @@
 /**
- * Makes the calls when they are due, whether or not earlier ones were answered.
+ * Issues calls on an open-loop schedule: a call starts when it is due, whether
+ * or not earlier ones have a result.
  *
  * @module
  */
@@ -9,37 +10,40 @@
 import type { Arrival } from "./arrivals.ts";
 import type { CallRecord } from "./types.ts";
 
-/** Time between two looks at what is due. */
+/** Interval of the check for due calls. */
 const TICK_MS = 1;
-/** A caller that is not answered this long after its deadline is given up. */
-const LATE_MS = 3_000;
+/** Time after its deadline at which a call without a result is given up. */
+const RESULT_GRACE_MS = 3_000;
 
 /** A running load. */
 export interface LoadRun {
+  /** Calls with a result, in order of completion. */
   records: CallRecord[];
-  /** Calls without a result. */
-  pending(): number;
-  /** Resolves when the last call has its result. */
+  /** @returns Calls without a result. */
+  getPendingCount(): number;
+  /** Resolves once the last call has its result. */
   done: Promise<void>;
 }
 
-/** What the run needs. */
+/** Dependencies of a load run. */
 export interface LoadRunOptions {
+  /** Endless, in order of `atMs`. */
   arrivals: Iterator<Arrival>;
+  /** Calls that are due later aren't issued. */
   durationMs: number;
   clock: Clock;
-  /** @returns The caller that stands for a client. */
-  callerOf(clientIp: string): Caller;
+  /** @returns The caller that sends a client's calls. */
+  getCaller(clientIp: string): Caller;
 }
 
 /**
- * Starts the load.
+ * Starts issuing calls.
  *
- * @param options See there.
+ * @param options Arrivals, duration, clock and callers.
  * @returns The running load.
  */
 export function startLoad(options: LoadRunOptions): LoadRun {
-  const { arrivals, durationMs, clock, callerOf } = options;
+  const { arrivals, durationMs, clock, getCaller: callerOf } = options;
   const records: CallRecord[] = [];
   const startMs = clock.monotonicMs();
   const startWallMs = clock.now().getTime();
@@ -48,12 +52,13 @@
   let markDone: () => void = () => {};
   const done = new Promise<void>((resolve) => markDone = resolve);
 
-  async function make(arrival: Arrival): Promise<void> {
+  /** Issues one call and records its result. */
+  async function issueCall(arrival: Arrival): Promise<void> {
     pending += 1;
     const { call } = arrival;
-    const result = await withPatience(
+    const result = await withTimeout(
       callerOf(call.clientIp).call(call),
-      call.deadlineMs + LATE_MS,
+      call.deadlineMs + RESULT_GRACE_MS,
     );
     pending -= 1;
     records.push({
@@ -71,13 +76,14 @@
     if (pending === 0 && next.atMs > durationMs) markDone();
   }
 
-  function withPatience(
-    called: Promise<CallResult>,
-    patienceMs: number,
+  /** @returns The result of a call; of kind `unknown` after the time-out. */
+  function withTimeout(
+    callResult: Promise<CallResult>,
+    timeoutMs: number,
   ): Promise<CallResult> {
     return new Promise((resolve) => {
-      const timer = clock.after(patienceMs, () => {
-        const reason = "No result long after the deadline";
+      const timer = clock.after(timeoutMs, () => {
+        const reason = "No result within the grace period after the deadline";
         resolve({
           kind: "unknown",
           reason,
@@ -85,14 +91,15 @@
           idempotencyKey: undefined,
         });
       });
-      void called.then(resolve).finally(() => timer.cancel());
+      void callResult.then(resolve).finally(() => timer.cancel());
     });
   }
 
+  /** Issues the calls that are due. */
   function tick(): void {
     const elapsedMs = clock.monotonicMs() - startMs;
     while (next.atMs <= elapsedMs && next.atMs <= durationMs) {
-      void make(next);
+      void issueCall(next);
       next = arrivals.next().value;
     }
     if (next.atMs <= durationMs) clock.after(TICK_MS, tick);
@@ -100,5 +107,5 @@
   }
 
   tick();
-  return { records, pending: () => pending, done };
+  return { records, getPendingCount: () => pending, done };
 }
--- a/src/load/start_script_test.ts
+++ b/src/load/start_script_test.ts
@@ -11,9 +11,9 @@
   new URL("../../scripts/start.sh", import.meta.url),
 );
 
-/** Programs that stand for the product's, by name. */
+/** Test programs in place of the real binaries, by name. */
 const PROGRAMS: Record<string, string> = {
-  /** Comes up after 2.5 s of a run of 2 s, then loads until it is over. */
+  /** Takes 2.5 s to start, longer than the run of 2 s, then runs for 2 s. */
   hawthorngw_load: `
     const fs = require("node:fs");
     const [command, , dir] = process.argv.slice(2);
@@ -40,7 +40,7 @@
     setInterval(() => {}, 1000);`,
 };
 
-test("the planned stop of an entry waits until the load began, however long the start takes", () => {
+test("the planned stop of an entry waits for the load to start, even after a slow start", () => {
   const dir = mkdtempSync(join(tmpdir(), "hawthorngw-start-"));
   for (const [name, text] of Object.entries(PROGRAMS)) {
     writeFileSync(join(dir, `${name}.js`), text);
--- a/src/operator/cli_test.ts
+++ b/src/operator/cli_test.ts
@@ -3,7 +3,11 @@
 import { join } from "node:path";
 import * as assert from "uvu/assert";
 import { suite } from "uvu";
-import { makeSmallDeployment, pickBase, until } from "../deployment/fixture.ts";
+import {
+  makeSmallDeployment,
+  pickAddressBase,
+  waitUntil,
+} from "../deployment/fixture.ts";
 import {
   type RunningDeployment,
   startDeployment,
@@ -23,7 +27,11 @@
 
 test.before(async (context) => {
   const deployment = makeSmallDeployment();
-  context.deployment = await startDeployment(deployment, clock, pickBase());
+  context.deployment = await startDeployment(
+    deployment,
+    clock,
+    pickAddressBase(),
+  );
   const { load } = context.deployment.files;
   context.dir = mkdtempSync(join(tmpdir(), "hawthorngw-"));
   context.run = async (...args) => {
@@ -90,7 +98,7 @@
 });
 
 test("status and dump show the fleet", async ({ run, deployment }) => {
-  await until(async () =>
+  await waitUntil(async () =>
     /thies-1: 4 members, 0 behind/.test((await run("status")).out)
   );
   const address = deployment.files.load.operators[1];
--- a/src/platform/contract_test.ts
+++ b/src/platform/contract_test.ts
@@ -37,7 +37,7 @@
 ];
 
 for (const [name, getTable] of tables) {
-  test(`table ${name}: a transaction commits whole or not at all`, async (context) => {
+  test(`table ${name}: a transaction is atomic`, async (context) => {
     const table = getTable(context);
     const first = await table.transact({
       writeId: "w1",
@@ -105,19 +105,19 @@
   });
 }
 
-test("a write to a platform that is gone was not sent", async ({ standin, client }) => {
+test("a write to a stopped platform fails as not sent", async ({ standin, client }) => {
   await standin.stop();
   const put = await client.objects.put("x", "y");
   assert.is(put._unsafeUnwrapErr().kind, "not_sent");
 });
 
-test("objects are kept by name", async ({ client }) => {
+test("objects are stored by name", async ({ client }) => {
   assert.is((await client.objects.get("a/b"))._unsafeUnwrap(), undefined);
   await client.objects.put("a/b", "text");
   assert.is((await client.objects.get("a/b"))._unsafeUnwrap(), "text");
 });
 
-test("the list of VMs lags", async ({ standin, client }) => {
+test("the list of VMs lags behind", async ({ standin, client }) => {
   standin.faults.vmListLagMs = 60_000;
   standin.setVmState("vm-1", "leaving");
   assert.equal((await client.vms.list())._unsafeUnwrap(), []);
@@ -126,7 +126,7 @@
   assert.equal(list, [{ id: "vm-1", state: "leaving" }]);
 });
 
-test("table in memory: after a restore no version is given out twice", async () => {
+test("table in memory: after a restore no version is reused", async () => {
   const table = new MemoryTable();
   const put = (key: string, version: number) =>
     table.transact({
@@ -135,10 +135,10 @@
       puts: [{ key, value: key }],
     });
   await put("config/a", 0);
-  const copy = table.takeCopy();
+  const snapshot = table.takeSnapshot();
   await put("config/a", 1);
   const known = (await table.changes(0, ["config/"]))._unsafeUnwrap();
-  table.restore(copy);
+  table.restore(snapshot);
   const changes = (await table.changes(known.throughVersion, ["config/"]))
     ._unsafeUnwrap();
   assert.equal(changes.rows.map(({ version }) => version), [EPOCH_STRIDE + 1]);
--- a/src/platform/http_client.ts
+++ b/src/platform/http_client.ts
@@ -8,35 +8,46 @@
 import { classifyTransportError, StepError } from "../runtime/errors.ts";
 import {
   type ChangeSet,
-  type Commit,
   ObjectStore,
   type Platform,
   type PlatformResult,
   type Row,
   TableService,
   type Transaction,
+  type TransactionResult,
   type Vm,
   VmList,
 } from "./types.ts";
 
-/** How long a call may take before it counts as unanswered. */
+/**
+ * Time after which a call without a response fails with an error of kind
+ * `unknown`.
+ */
 export const CALL_TIMEOUT_MS = 1_000;
 
-interface Call {
+/** An HTTP request to the platform. */
+interface PlatformCall {
+  /** Step that an error names. */
   step: string;
   method: "GET" | "PUT" | "POST";
   path: string;
   body?: string;
 }
 
-interface CallAnswer {
+/** A response with a status below 500. */
+interface PlatformResponse {
   status: number;
   text: string;
 }
 
-type CallPlatform = (call: Call) => PlatformResult<CallAnswer>;
+type CallPlatform = (call: PlatformCall) => PlatformResult<PlatformResponse>;
 
-function createCaller(baseUrl: string, agent: Agent): CallPlatform {
+/**
+ * Creates a function that sends requests to the platform. It returns an error
+ * of kind `refused` for a status of 500 or above, and else of the kind of the
+ * transport error.
+ */
+function createPlatformCaller(baseUrl: string, agent: Agent): CallPlatform {
   return async ({ step, method, path, body }) => {
     try {
       const response = await request(`${baseUrl}${path}`, {
@@ -51,7 +62,7 @@
         return ok({ status: response.statusCode, text });
       }
       return err(
-        new StepError(`Platform answered ${response.statusCode}`, {
+        new StepError(`Platform responded with status ${response.statusCode}`, {
           step,
           peer: baseUrl,
           kind: "refused",
@@ -59,7 +70,7 @@
       );
     } catch (cause) {
       return err(
-        new StepError("Platform did not answer", {
+        new StepError("Platform did not respond", {
           step,
           peer: baseUrl,
           kind: classifyTransportError(cause),
@@ -100,23 +111,25 @@
     afterVersion: number,
     prefixes: readonly string[],
   ): PlatformResult<ChangeSet> {
-    const wanted = encodeURIComponent(prefixes.join(","));
+    const prefixList = encodeURIComponent(prefixes.join(","));
     const answer = await this.#call({
       step: "table.changes",
       method: "GET",
-      path: `/v1/table/changes?after=${afterVersion}&prefixes=${wanted}`,
+      path: `/v1/table/changes?after=${afterVersion}&prefixes=${prefixList}`,
     });
     return answer.map(({ text }) => JSON.parse(text) as ChangeSet);
   }
 
-  override async transact(transaction: Transaction): PlatformResult<Commit> {
+  override async transact(
+    transaction: Transaction,
+  ): PlatformResult<TransactionResult> {
     const answer = await this.#call({
       step: "table.transact",
       method: "POST",
       path: "/v1/table/transactions",
       body: JSON.stringify(transaction),
     });
-    return answer.map(({ text }) => JSON.parse(text) as Commit);
+    return answer.map(({ text }) => JSON.parse(text) as TransactionResult);
   }
 }
 
@@ -166,19 +179,22 @@
   }
 }
 
-/** The platform's clients and their connections. */
+/** Clients of the platform's services, and their connections. */
 export interface PlatformClient extends Platform {
   /** Closes the connections. */
   close(): Promise<void>;
 }
 
 /**
- * @param baseUrl Where the platform listens, such as `http://127.0.0.1:7000`.
- * @returns Clients of its three services.
+ * Creates HTTP clients of the platform, which share at most four connections. A
+ * call without a response within 1 s fails.
+ *
+ * @param baseUrl URL of the platform, such as `http://127.0.0.1:7000`.
+ * @returns Clients of the three services; close them after use.
  */
 export function createPlatformClient(baseUrl: string): PlatformClient {
   const agent = new Agent({ connections: 4, pipelining: 1 });
-  const call = createCaller(baseUrl, agent);
+  const call = createPlatformCaller(baseUrl, agent);
   return {
     table: new HttpTableService(call),
     objects: new HttpObjectStore(call),
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's services as this project sees them: a transactional table, an
- * object store and a lagging list of VMs. Each may be down, slow, or lose an
- * answer after a write took effect.
+ * Interfaces of the platform's services: a transactional table, an object store
+ * and a list of VMs that lags behind. Each may be down or slow, or lose a
+ * response after a write took effect.
  *
  * @module
  */
@@ -9,9 +9,9 @@
 import type { StepError } from "../runtime/errors.ts";
 
 /**
- * Distance between the versions of two epochs of the table. A table that is
- * restored from a copy begins an epoch, in which all its rows count as written
- * anew: no version is given out twice, and all changes are told.
+ * Distance between the first versions of two table epochs. A table that is
+ * restored from a backup starts a new epoch in which all rows count as changed,
+ * so that no version is reused and readers get every change.
  */
 export const EPOCH_STRIDE = 2 ** 32;
 
@@ -19,20 +19,20 @@
 export interface Row {
   key: string;
   /**
-   * Commit sequence number of the last write, beyond the begin of the table's
-   * epoch; 0 means "no such row".
+   * Start of the table's epoch plus the commit sequence number of the last
+   * write; 0 where the row doesn't exist.
    */
   version: number;
-  /** Identity of the write that made this version. */
+  /** Id of the write that made this version. */
   writeId: string;
   /** JSON text. */
   value: string;
 }
 
-/** What a row's version must be for a transaction to commit. */
+/** Version that a row must have for a transaction to commit. */
 export interface RowCondition {
   key: string;
-  /** 0 demands that the row does not exist. */
+  /** 0 requires that the row doesn't exist. */
   version: number;
 }
 
@@ -42,34 +42,40 @@
   value: string;
 }
 
-/** A set of puts that commits whole or not at all. */
+/** A set of puts that is committed atomically. */
 export interface Transaction {
-  /** Identity kept in every row written, to resolve lost answers. */
+  /**
+   * Id stored in every written row. After a lost response it shows whether the
+   * transaction was committed.
+   */
   writeId: string;
   conditions: RowCondition[];
   puts: RowPut[];
 }
 
-/** How a transaction ended. */
-export type Commit =
+/**
+ * Result of a transaction; a conflict has the current rows of failed
+ * conditions.
+ */
+export type TransactionResult =
   | { outcome: "committed"; version: number }
   | { outcome: "conflict"; current: Row[] };
 
-/** Rows changed after some version. */
+/** Rows changed after a version. */
 export interface ChangeSet {
   afterVersion: number;
   /** Every change up to this version is included. */
   throughVersion: number;
-  /** Latest form of each changed row. */
+  /** Latest version of each changed row. */
   rows: Row[];
 }
 
-/** The result of a call to the platform. */
+/** Result of a platform call; a failed call resolves with an error. */
 export type PlatformResult<T> = Promise<Result<T, StepError>>;
 
 /**
- * @param version A version.
- * @returns The table's epoch in which it was given out.
+ * @param version Version of a row or table.
+ * @returns Number of the table epoch that it belongs to.
  */
 export function getTableEpoch(version: number): number {
   return Math.floor(version / EPOCH_STRIDE);
@@ -78,41 +84,56 @@
 /** The transactional table. */
 export abstract class TableService {
   /**
-   * @param key The row's key.
-   * @returns The row; version 0 and an empty value where there is none.
+   * Reads a row.
+   *
+   * @param key Key of the row.
+   * @returns The row; with version 0 and an empty value if it doesn't exist.
    */
   abstract read(key: string): PlatformResult<Row>;
   /**
-   * @param prefix Start of the keys wanted.
+   * Lists rows by key prefix.
+   *
+   * @param prefix Prefix of the keys.
    * @returns The rows in key order.
    */
   abstract list(prefix: string): PlatformResult<Row[]>;
   /**
-   * @param afterVersion Last version known.
-   * @param prefixes Starts of the keys wanted.
-   * @returns What changed since.
+   * Lists the rows that changed after a version.
+   *
+   * @param afterVersion The last version that the reader has.
+   * @param prefixes Prefixes of the keys.
+   * @returns The changed rows.
    */
   abstract changes(
     afterVersion: number,
     prefixes: readonly string[],
   ): PlatformResult<ChangeSet>;
   /**
+   * Commits a transaction if all its conditions hold.
+   *
    * @param transaction Conditions and puts.
-   * @returns How it ended; an error of kind `unknown` leaves it open.
+   * @returns The result; after an error of kind `unknown` the transaction may
+   * have been committed.
    */
-  abstract transact(transaction: Transaction): PlatformResult<Commit>;
+  abstract transact(
+    transaction: Transaction,
+  ): PlatformResult<TransactionResult>;
 }
 
 /** The object store. */
 export abstract class ObjectStore {
   /**
-   * @param name The object's name.
-   * @returns Its text, or undefined where there is none.
+   * Reads an object.
+   *
+   * @param name Name of the object.
+   * @returns The text, or undefined if the object doesn't exist.
    */
   abstract get(name: string): PlatformResult<string | undefined>;
   /**
-   * @param name The object's name.
-   * @param text Its new content.
+   * Writes an object.
+   *
+   * @param name Name of the object.
+   * @param text The new content.
    */
   abstract put(name: string, text: string): PlatformResult<void>;
 }
@@ -120,19 +141,19 @@
 /** State of a VM in the platform's list. */
 export type VmState = "live" | "leaving";
 
-/** An entry of the platform's list. */
+/** A VM in the platform's list. */
 export interface Vm {
   id: string;
   state: VmState;
 }
 
-/** The lagging list of VMs; holds entry VMs and backend servers. */
+/** The list of VMs, both entry VMs and backend servers; it lags behind. */
 export abstract class VmList {
-  /** @returns The list as the platform saw it some time ago. */
+  /** @returns The list, which may be out of date. */
   abstract list(): PlatformResult<Vm[]>;
 }
 
-/** The three services together. */
+/** The three services of the platform. */
 export interface Platform {
   table: TableService;
   objects: ObjectStore;
--- a/src/standin/backend_server.ts
+++ b/src/standin/backend_server.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of one backend server: slots, service times, cold start, shedding,
- * health that may lie. For development only.
+ * Stand-in for one backend server: slots, service times, cold start, load
+ * shedding and false health reports. For development only.
  *
  * @module
  */
@@ -18,60 +18,68 @@
 } from "../runtime/http_server.ts";
 import { drawExponential, type Random } from "../runtime/random.ts";
 
-/** How a stand-in server is made. */
+/** Settings of a stand-in server. */
 export interface BackendSettings {
   id: string;
   service: string;
   failureDomain: string;
   region: string;
   address: string;
+  /** Requests that run concurrently. */
   slots: number;
-  /** Mean time of a request, in ms. */
+  /** Mean service time of a request, in ms. */
   serviceMs: number;
 }
 
-/** What can be made to go wrong, or be asked of it. */
+/** Injected faults; they can be changed while the server runs. */
 export interface BackendFaults {
   /** Factor on service times. */
   slowFactor: number;
-  /** Requests that are still slow after a cold start, and their factor. */
+  /** Remaining requests that are slow after a cold start. */
   coldRequests: number;
+  /** Factor on the service times of these requests. */
   coldFactor: number;
-  /** Refuses new work and says so. */
+  /** Rejects new requests and reports that the server is leaving. */
   leaving: boolean;
-  /** Health says draining. */
+  /** Reports the state `draining` in health answers. */
   healthDraining: boolean;
-  /** Use that the health endpoint reports instead of the true one. */
+  /** Utilization in health answers, in place of the true one. */
   reportedUse: number | undefined;
-  /** What becomes of the next answers. */
+  /** How the next `answerModeCount` requests are answered. */
   answerMode: AnswerMode;
-  /** Requests that `answerMode` still applies to. */
+  /** Remaining requests to which `answerMode` applies. */
   answerModeCount: number;
 }
 
-/** Ways an answer can go wrong. */
+/** How a request is answered. */
 export type AnswerMode =
+  /** Completely and correctly. */
   | "whole"
-  /** The connection dies before the request runs. */
+  /** The connection breaks before the request runs. */
   | "die_before"
-  /** It dies after the request ran, before the answer. */
+  /** The connection breaks after the request ran, before the answer. */
   | "die_after"
-  /** It dies in the middle of the answer. */
+  /** The connection breaks in the middle of the answer. */
   | "truncate"
-  /** The answer names another request. */
+  /** The answer has the id of another request. */
   | "crossed"
   /** Status 500 after the request ran. */
   | "error"
-  /** Refused, with proof. */
+  /** Status 503, with the outcome `not_run`. */
   | "shed";
 
-/** One run of a request, by the server's own word. */
+/** One run of a request, as the server recorded it. */
 export interface RunRecord {
   requestId: string;
+  /** Idempotency key of the request. */
   key: string | undefined;
+  /** Client block of the request. */
   block: string;
+  /** Id of the server. */
   server: string;
+  /** In ms since the Unix epoch. */
   startMs: number;
+  /** In ms since the Unix epoch; 0 while the request runs. */
   endMs: number;
 }
 
@@ -80,25 +88,27 @@
   settings: BackendSettings;
   faults: BackendFaults;
   records: RunRecord[];
-  /** Requests running now. */
+  /** @returns Requests that hold a slot. */
   inFlight(): number;
-  /** Most requests present at once, waiting ones included. */
+  /** @returns Most requests held at once, queued ones included. */
   peak(): number;
+  /** Closes all connections and the listener. */
   stop(): Promise<void>;
 }
 
-/** Requests that may wait for a slot, as a multiple of the slots. */
-const WAITING_FACTOR = 1;
-/** Part of the service time that does not vary. */
-const FIXED_PART = 0.6;
+/** Requests that may queue for a slot, as a multiple of the slots. */
+const QUEUE_CAPACITY_FACTOR = 1;
+/** Share of the mean service time that doesn't vary. */
+const FIXED_SERVICE_TIME_SHARE = 0.6;
 
 /**
- * Starts the stand-in.
+ * Starts a stand-in server.
  *
- * @param settings How it is made.
- * @param clock The clock; records use its wall time.
- * @param random For service times.
+ * @param settings Settings of the server.
+ * @param clock The clock; records have its wall-clock time.
+ * @param random Random source of the service times.
  * @returns The running server.
+ * @throws Where the address can't be listened on.
  */
 export async function startStandinBackend(
   settings: BackendSettings,
@@ -106,7 +116,7 @@
   random: Random,
 ): Promise<StandinBackend> {
   const records: RunRecord[] = [];
-  const waiting: (() => void)[] = [];
+  const queue: (() => void)[] = [];
   let running = 0;
   let peak = 0;
   const faults: BackendFaults = {
@@ -122,36 +132,39 @@
 
   function drawServiceMs(): number {
     const { serviceMs } = settings;
-    const varying = drawExponential(random, serviceMs * (1 - FIXED_PART));
+    const varying = drawExponential(
+      random,
+      serviceMs * (1 - FIXED_SERVICE_TIME_SHARE),
+    );
     let factor = faults.slowFactor;
     if (faults.coldRequests > 0) {
       faults.coldRequests -= 1;
       factor *= faults.coldFactor;
     }
-    return (serviceMs * FIXED_PART + varying) * factor;
+    return (serviceMs * FIXED_SERVICE_TIME_SHARE + varying) * factor;
   }
 
-  function takeMode(): AnswerMode {
+  function takeAnswerMode(): AnswerMode {
     if (faults.answerModeCount <= 0) return "whole";
     faults.answerModeCount -= 1;
     return faults.answerMode;
   }
 
-  async function takeSlot(): Promise<void> {
+  async function acquireSlot(): Promise<void> {
     if (running < settings.slots) {
       running += 1;
       return;
     }
-    await new Promise<void>((resolve) => waiting.push(resolve));
+    await new Promise<void>((resolve) => queue.push(resolve));
   }
 
-  function freeSlot(): void {
-    const next = waiting.shift();
+  function releaseSlot(): void {
+    const next = queue.shift();
     if (next) next();
     else running -= 1;
   }
 
-  function refuse(request: Request, response: ServerResponse): void {
+  function rejectRequest(request: Request, response: ServerResponse): void {
     response.writeHead(503, {
       [HEADERS.outcome]: "not_run",
       [HEADERS.requestId]: getHeader(request, HEADERS.requestId) ?? "",
@@ -166,15 +179,15 @@
     response: ServerResponse,
   ): Promise<void> {
     const body = await readBody(request);
-    const mode = takeMode();
-    const isFull = running + waiting.length >=
-      settings.slots * (1 + WAITING_FACTOR);
-    if (faults.leaving || isFull || mode === "shed") {
-      return refuse(request, response);
+    const mode = takeAnswerMode();
+    const isSaturated = running + queue.length >=
+      settings.slots * (1 + QUEUE_CAPACITY_FACTOR);
+    if (faults.leaving || isSaturated || mode === "shed") {
+      return rejectRequest(request, response);
     }
     if (mode === "die_before") return void request.socket.destroy();
-    peak = Math.max(peak, running + waiting.length + 1);
-    await takeSlot();
+    peak = Math.max(peak, running + queue.length + 1);
+    await acquireSlot();
     const requestId = getHeader(request, HEADERS.requestId) ?? "";
     const record: RunRecord = {
       requestId,
@@ -185,22 +198,26 @@
       endMs: 0,
     };
     records.push(record);
-    await pause(response, drawServiceMs(), record.key === undefined);
+    await waitServiceTime(response, drawServiceMs(), record.key === undefined);
     record.endMs = clock.now().getTime();
-    freeSlot();
+    releaseSlot();
     sendAnswer(request, response, { mode, requestId, bodyBytes: body.length });
   }
 
-  /** Cancelled lookups stop early; at-most-once requests run to their end. */
-  function pause(
+  /**
+   * Waits for the service time. It ends early where the client has gone, but
+   * only for requests without an idempotency key; at-most-once requests always
+   * run to their end.
+   */
+  function waitServiceTime(
     response: ServerResponse,
     durationMs: number,
-    cancellable: boolean,
+    isCancellable: boolean,
   ): Promise<void> {
     return new Promise((resolve) => {
       const timer = clock.after(durationMs, resolve);
       response.once("close", () => {
-        if (response.writableEnded || !cancellable) return;
+        if (response.writableEnded || !isCancellable) return;
         timer.cancel();
         resolve();
       });
@@ -224,11 +241,11 @@
       bodyBytes,
       filler: "x".repeat(200),
     });
-    const namedId = mode === "crossed" ? `${requestId}-other` : requestId;
+    const answeredId = mode === "crossed" ? `${requestId}-other` : requestId;
     response.writeHead(mode === "error" ? 500 : 200, {
       "content-type": "application/json",
       "content-length": answer.length,
-      [HEADERS.requestId]: namedId,
+      [HEADERS.requestId]: answeredId,
     });
     if (mode === "truncate") {
       response.write(answer.slice(0, 20));
@@ -241,8 +258,8 @@
   const router = createRouter();
   router.get("/health", (_request, response) => {
     const state = faults.healthDraining ? "draining" : "serving";
-    const use = faults.reportedUse ?? running / settings.slots;
-    sendJson(response, { state, use });
+    const utilization = faults.reportedUse ?? running / settings.slots;
+    sendJson(response, { state, use: utilization });
   });
   router.all("/*", serve);
   const server: HttpServer = await listen(router, settings.address);
--- a/src/standin/backends.ts
+++ b/src/standin/backends.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the backend servers of one failure domain in one process, with
- * an address to set faults and read records.
+ * Stand-in for the backend servers of one failure domain in one process, with
+ * an admin endpoint to set faults and read records. For development only.
  *
  * @module
  */
@@ -19,46 +19,54 @@
   startStandinBackend,
 } from "./backend_server.ts";
 
-/** How the process is made. */
+/** Settings of the process. */
 export interface BackendsSettings {
+  /** `host:port` of the admin endpoint. */
   adminAddress: string;
+  /** Seed of the service times. */
   seed: number;
   servers: BackendSettings[];
 }
 
-/** What the admin address tells of one server. */
+/** Report of the admin endpoint about one server. */
 export interface BackendReport {
   id: string;
   address: string;
   service: string;
   region: string;
   slots: number;
+  /** Most requests held at once, queued ones included. */
   peak: number;
   records: RunRecord[];
 }
 
-/** A running process. */
+/** The running servers of one process. */
 export interface StandinBackends {
   adminAddress: string;
+  /** By id. */
   servers: Map<string, StandinBackend>;
   stop(): Promise<void>;
 }
 
 /**
- * Starts the servers.
+ * Starts the servers and the admin endpoint.
  *
- * @param settings How they are made.
+ * @param settings Settings of the process.
  * @param clock The clock.
  * @returns The running servers.
+ * @throws Where an address can't be listened on.
  */
 export async function startStandinBackends(
   settings: BackendsSettings,
   clock: Clock,
 ): Promise<StandinBackends> {
   const servers = new Map<string, StandinBackend>();
-  for (const [index, made] of settings.servers.entries()) {
+  for (const [index, serverSettings] of settings.servers.entries()) {
     const random = createRandom(settings.seed + index);
-    servers.set(made.id, await startStandinBackend(made, clock, random));
+    servers.set(
+      serverSettings.id,
+      await startStandinBackend(serverSettings, clock, random),
+    );
   }
   const router = createRouter();
   router.put("/admin/servers/:id", async (request, response) => {
--- a/src/standin/memory_table.ts
+++ b/src/standin/memory_table.ts
@@ -1,46 +1,51 @@
 /**
- * A table in memory with the semantics of the platform's.
+ * An in-memory table with the semantics of the platform's table service.
  *
  * @module
  */
 import { ok } from "neverthrow";
 import {
   type ChangeSet,
-  type Commit,
   EPOCH_STRIDE,
   getTableEpoch,
   type PlatformResult,
   type Row,
   TableService,
   type Transaction,
+  type TransactionResult,
 } from "../platform/types.ts";
 
-/** Rows of a table at some moment. */
-export interface TableCopy {
+/** Rows and version of a table at one point in time. */
+export interface TableSnapshot {
   rows: Row[];
   version: number;
 }
 
-/** The table; also used directly in tests. */
+/** The in-memory table; tests also use it directly. */
 export class MemoryTable extends TableService {
   #rows = new Map<string, Row>();
   #version = 0;
 
-  /** @returns What the table holds now. */
-  takeCopy(): TableCopy {
+  /** @returns The current rows and version. */
+  takeSnapshot(): TableSnapshot {
     return { rows: [...this.#rows.values()], version: this.#version };
   }
 
-  /** @param copy What the table goes back to; all written since is lost. */
-  restore(copy: TableCopy): void {
-    const start = (getTableEpoch(this.#version) + 1) * EPOCH_STRIDE;
-    const toVersion = (version: number) => start + version % EPOCH_STRIDE;
-    const rows = copy.rows.map((row) => ({
+  /**
+   * Restores a snapshot; later writes are lost. This starts a new table epoch
+   * and moves all versions into it, so that no version is reused.
+   *
+   * @param snapshot The rows and version to restore.
+   */
+  restore(snapshot: TableSnapshot): void {
+    const epochStart = (getTableEpoch(this.#version) + 1) * EPOCH_STRIDE;
+    const toVersion = (version: number) => epochStart + version % EPOCH_STRIDE;
+    const rows = snapshot.rows.map((row) => ({
       ...row,
       version: toVersion(row.version),
     }));
     this.#rows = new Map(rows.map((row) => [row.key, row]));
-    this.#version = toVersion(copy.version);
+    this.#version = toVersion(snapshot.version);
   }
 
   override read(key: string): PlatformResult<Row> {
@@ -66,7 +71,9 @@
     return Promise.resolve(ok({ afterVersion, throughVersion, rows }));
   }
 
-  override transact(transaction: Transaction): PlatformResult<Commit> {
+  override transact(
+    transaction: Transaction,
+  ): PlatformResult<TransactionResult> {
     const { conditions, puts, writeId } = transaction;
     const failed = conditions.filter(({ key, version }) =>
       this.#get(key).version !== version
--- a/src/standin/network.ts
+++ b/src/standin/network.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the links between regions: relays TCP connections with a delay,
- * counts their bytes, and can cut them. For development only.
+ * Stand-in for the links between regions: forwards TCP connections with a
+ * delay, counts their bytes, and can cut links. For development only.
  *
  * @module
  */
@@ -15,28 +15,30 @@
   sendJson,
 } from "../runtime/http_server.ts";
 
-/** One relayed address. */
+/** An address whose connections are forwarded over a link. */
 export interface RelayRoute {
-  /** Region that dials. */
+  /** Region that connects. */
   from: string;
   /** Region of the target. */
   to: string;
   listenAddress: string;
   targetAddress: string;
+  /** Delay in each direction. */
   oneWayMs: number;
 }
 
-/** How the network is made. */
+/** Settings of the network. */
 export interface NetworkSettings {
+  /** `host:port` of the admin endpoint. */
   adminAddress: string;
   routes: RelayRoute[];
 }
 
 /** Bytes over one link within one second. */
-export interface LinkSecond {
+export interface LinkTrafficSample {
   from: string;
   to: string;
-  /** Wall-clock second, in s since the epoch. */
+  /** Wall-clock time, in s since the Unix epoch. */
   second: number;
   bytes: number;
 }
@@ -44,27 +46,32 @@
 /** A running network. */
 export interface StandinNetwork {
   adminAddress: string;
+  /**
+   * Cuts or restores a link; a cut closes its connections and refuses new ones.
+   */
   setCut(from: string, to: string, cut: boolean): void;
-  seconds(): LinkSecond[];
+  /** @returns Bytes of each link in each second with traffic. */
+  getLinkTraffic(): LinkTrafficSample[];
   stop(): Promise<void>;
 }
 
 /**
- * Starts the relays.
+ * Starts listening on all routes and on the admin address.
  *
- * @param settings How they are made.
+ * @param settings Routes and admin address.
  * @param clock The clock.
  * @returns The running network.
+ * @throws Where an address can't be listened on.
  */
 export async function startStandinNetwork(
   settings: NetworkSettings,
   clock: Clock,
 ): Promise<StandinNetwork> {
   const cuts = new Set<string>();
-  const counters = new Map<string, LinkSecond>();
+  const counters = new Map<string, LinkTrafficSample>();
   const sockets = new Map<Socket, string>();
 
-  function count({ from, to }: RelayRoute, bytes: number): void {
+  function recordBytes({ from, to }: RelayRoute, bytes: number): void {
     const second = Math.floor(clock.now().getTime() / 1_000);
     const key = `${from} ${to} ${second}`;
     const counter = counters.get(key) ?? { from, to, second, bytes: 0 };
@@ -76,21 +83,27 @@
     const link = `${from} ${to}`;
     if (!cut) return void cuts.delete(link);
     cuts.add(link);
-    for (const [socket, used] of sockets) if (used === link) socket.destroy();
+    for (const [socket, name] of sockets) if (name === link) socket.destroy();
   }
 
-  function relay(route: RelayRoute, near: Socket): void {
+  /** Forwards a connection in both directions, each with the route's delay. */
+  function relayConnection(route: RelayRoute, inbound: Socket): void {
     const link = `${route.from} ${route.to}`;
-    if (cuts.has(link)) return void near.destroy();
+    if (cuts.has(link)) return void inbound.destroy();
     const { host, port } = splitAddress(route.targetAddress);
-    const far = new Socket();
-    far.setNoDelay(true);
-    near.setNoDelay(true);
-    far.connect(port, host);
-    for (const [source, sink] of [[near, far], [far, near]] as const) {
+    const outbound = new Socket();
+    outbound.setNoDelay(true);
+    inbound.setNoDelay(true);
+    outbound.connect(port, host);
+    for (
+      const [source, sink] of [[inbound, outbound], [
+        outbound,
+        inbound,
+      ]] as const
+    ) {
       sockets.set(source, link);
       source.on("data", (chunk: Buffer) => {
-        count(route, chunk.length);
+        recordBytes(route, chunk.length);
         clock.after(route.oneWayMs, () => {
           if (!sink.destroyed) sink.write(chunk);
         });
@@ -106,7 +119,7 @@
 
   const servers = await Promise.all(
     settings.routes.map((route) =>
-      openRelay(route, (socket) => relay(route, socket))
+      listenOnRoute(route, (socket) => relayConnection(route, socket))
     ),
   );
   const router = createRouter();
@@ -126,7 +139,7 @@
   return {
     adminAddress: admin.address,
     setCut,
-    seconds: () => [...counters.values()],
+    getLinkTraffic: () => [...counters.values()],
     async stop() {
       for (const server of servers) server.close();
       for (const socket of sockets.keys()) socket.destroy();
@@ -136,7 +149,7 @@
   };
 }
 
-function openRelay(
+function listenOnRoute(
   { listenAddress }: RelayRoute,
   onConnection: (socket: Socket) => void,
 ): Promise<Server> {
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform: table, object store and VM list over HTTP, with
- * faults that can be switched on. For development only.
+ * Stand-in for the platform: table, object store and VM list over HTTP, with
+ * fault injection. For development only.
  *
  * @module
  */
@@ -21,15 +21,15 @@
 } from "../runtime/http_server.ts";
 import { MemoryTable } from "./memory_table.ts";
 
-/** Faults of the platform. */
+/** Injected faults. */
 export interface PlatformFaults {
-  /** Every call is refused. */
+  /** Whether every call fails with status 503. */
   down: boolean;
-  /** Delay of every answer, in ms. */
+  /** Delay of every response, in ms. */
   delayMs: number;
-  /** Answers to writes that are lost after the write took effect. */
+  /** Number of writes that take effect but get no response. */
   loseWriteAnswers: number;
-  /** Age of the VM list, in ms. */
+  /** Delay until a state change shows in the VM list, in ms. */
   vmListLagMs: number;
 }
 
@@ -39,16 +39,20 @@
   writes: number;
 }
 
-/** A running stand-in. */
+/** A running stand-in for the platform. */
 export interface StandinPlatform {
+  /** `host:port` of the listener. */
   address: string;
   table: MemoryTable;
+  /** Mutable; changes take effect at the next call. */
   faults: PlatformFaults;
   counts: PlatformCounts;
+  /** Sets the state of a VM, which the list shows after `vmListLagMs`. */
   setVmState(id: string, state: VmState): void;
   stop(): Promise<void>;
 }
 
+/** A change of a VM's state. */
 interface VmChange {
   id: string;
   state: VmState;
@@ -56,11 +60,12 @@
 }
 
 /**
- * Starts the stand-in.
+ * Starts a stand-in for the platform.
  *
  * @param address `host:port` to listen on.
  * @param clock The clock.
  * @returns The running stand-in.
+ * @throws Where the address can't be listened on.
  */
 export async function startStandinPlatform(
   address: string,
@@ -89,13 +94,17 @@
     if (!faults.down) return next();
     sendProblem(response, {
       status: 503,
-      title: "Out of service",
-      detail: "The stand-in was told to be down",
+      title: "Service unavailable",
+      detail: 'The fault "down" is set on the stand-in',
     });
   }
 
-  /** Cuts the connection in place of an answer. */
-  function loseAnswer(response: ServerResponse): boolean {
+  /**
+   * Closes the connection without a response if `loseWriteAnswers` demands it.
+   *
+   * @returns Whether the response was dropped.
+   */
+  function dropAnswer(response: ServerResponse): boolean {
     if (faults.loseWriteAnswers <= 0) return false;
     faults.loseWriteAnswers -= 1;
     response.destroy();
@@ -104,13 +113,13 @@
 
   const router = createRouter();
   router.use(applyFaults);
-  addTableRoutes(router, { table, counts, loseAnswer });
-  addObjectRoutes(router, { objects, counts, loseAnswer });
+  addTableRoutes(router, { table, counts, dropAnswer });
+  addObjectRoutes(router, { objects, counts, dropAnswer });
   router.get("/v1/vms", (_request, response) => {
     counts.reads += 1;
-    const visibleMs = clock.monotonicMs() - faults.vmListLagMs;
+    const visibleUntilMs = clock.monotonicMs() - faults.vmListLagMs;
     const states = new Map(
-      vmChanges.filter(({ atMs }) => atMs <= visibleMs)
+      vmChanges.filter(({ atMs }) => atMs <= visibleUntilMs)
         .map(({ id, state }) => [id, state]),
     );
     sendJson(response, [...states].map(([id, state]) => ({ id, state })));
@@ -143,15 +152,16 @@
   };
 }
 
+/** Dependencies of the table's routes. */
 interface TableRouteOptions {
   table: MemoryTable;
   counts: PlatformCounts;
-  loseAnswer(response: ServerResponse): boolean;
+  dropAnswer(response: ServerResponse): boolean;
 }
 
 function addTableRoutes(
   router: Polka,
-  { table, counts, loseAnswer }: TableRouteOptions,
+  { table, counts, dropAnswer }: TableRouteOptions,
 ): void {
   router.get("/v1/table/row", async (request, response) => {
     counts.reads += 1;
@@ -171,16 +181,16 @@
     counts.writes += 1;
     const transaction = await readJson(request) as Transaction;
     const commit = await table.transact(transaction);
-    if (!loseAnswer(response)) sendResult(response, commit);
+    if (!dropAnswer(response)) sendResult(response, commit);
   });
 }
 
 function addObjectRoutes(
   router: Polka,
-  { objects, counts, loseAnswer }: {
+  { objects, counts, dropAnswer }: {
     objects: Map<string, string>;
     counts: PlatformCounts;
-    loseAnswer(response: ServerResponse): boolean;
+    dropAnswer(response: ServerResponse): boolean;
   },
 ): void {
   router.get("/v1/objects/:name", (request, response) => {
@@ -199,7 +209,7 @@
     counts.writes += 1;
     const body = await readBody(request, 16_777_216);
     objects.set(request.params.name, body.toString("utf8"));
-    if (!loseAnswer(response)) sendJson(response, {});
+    if (!dropAnswer(response)) sendJson(response, {});
   });
 }
 
--- a/src/standin/settings.ts
+++ b/src/standin/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of the stand-ins' binary.
+ * Settings of the `hawthorngw-standin` binary.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   serviceMs: z.number().positive(),
 });
 
-/** Schema of the settings: one of the three kinds of stand-in. */
+/** Schema of the settings, by kind of stand-in. */
 export const standinSettingsSchema = z.discriminatedUnion("kind", [
   z.strictObject({ kind: z.literal("platform"), address: z.string() }),
   z.strictObject({
@@ -37,5 +37,5 @@
   }),
 ]);
 
-/** Settings of a stand-in. */
+/** Settings of one stand-in process. */
 export type StandinSettings = z.infer<typeof standinSettingsSchema>;
