--- a/src/deployment/generate.ts
+++ b/src/deployment/generate.ts
@@ -387,12 +387,12 @@
     services: deployment.services.map((service, index) => ({
       name: services[index].service,
       share: service.share,
-      mix: service.mix.map((part) => {
+      mix: service.mix.map((mix) => {
         const found = services[index].classes.find(({ name }) =>
-          name === part.class
+          name === mix.class
         );
         const { weight = 1, idempotent = true } = found ?? {};
-        return { ...part, weight, idempotent };
+        return { ...mix, weight, idempotent };
       }),
       cap: services[index].shiftCap,
     })),
--- a/src/deployment/whole_path_test.ts
+++ b/src/deployment/whole_path_test.ts
@@ -160,7 +160,7 @@
 
 test("an entry killed mid-request: the key never runs twice", async ({ caller, deployment }) => {
   const servers = [...deployment.backends.values()]
-    .flatMap((one) => [...one.servers.values()]);
+    .flatMap((backend) => [...backend.servers.values()]);
   for (const server of servers) server.faults.slowFactor = 30;
   const before = listRuns(deployment).length;
   const called = caller.call(booking);
--- a/src/load/html.ts
+++ b/src/load/html.ts
@@ -98,19 +98,19 @@
 
 /** Draws line plots with a common scale as an SVG element. */
 function plot(series: Series[]): string {
-  const points = series.flatMap((one) => one.points);
+  const points = series.flatMap((line) => line.points);
   const maxX = Math.max(1, ...points.map(({ x }) => x));
   const maxY = Math.max(1, ...points.map(({ y }) => y));
   const toX = (x: number) => MARGIN + x / maxX * (WIDTH - 2 * MARGIN);
   const toY = (y: number) => HEIGHT - 20 - y / maxY * (HEIGHT - 40);
-  const lines = series.map((one, index) => {
-    const path = one.points
+  const lines = series.map((line, index) => {
+    const path = line.points
       .map(({ x, y }) => `${toX(x).toFixed(1)},${toY(y).toFixed(1)}`)
       .join(" ");
     const color = `hsl(${index * 110}, 60%, 40%)`;
     const labelX = MARGIN + index * 140;
     return `<polyline fill="none" stroke="${color}" points="${path}"/>` +
-      `<text x="${labelX}" y="12" fill="${color}">${escape(one.name)}</text>`;
+      `<text x="${labelX}" y="12" fill="${color}">${escape(line.name)}</text>`;
   });
   return `<svg width="${WIDTH}" height="${HEIGHT}" role="img">
 <text x="0" y="24">${maxY.toFixed(0)}</text>
--- a/src/load/measure_test.ts
+++ b/src/load/measure_test.ts
@@ -184,9 +184,9 @@
 test("headroom is that of the busiest second and link", () => {
   const backends = [makeBackend([{ startMs: 1_000, endMs: 2_000 }])];
   const links = [{ from: "a", to: "b", second: 1, bytes: 250 }];
-  const made = report({ backends, links });
-  assert.is(made.minRegionHeadroomShare, 0.5);
-  assert.is(made.minLinkHeadroomShare, 0.75);
+  const result = report({ backends, links });
+  assert.is(result.minRegionHeadroomShare, 0.5);
+  assert.is(result.minLinkHeadroomShare, 0.75);
 });
 
 test.run();
--- a/src/load/path_cost.ts
+++ b/src/load/path_cost.ts
@@ -125,7 +125,9 @@
   const { path } = mix[0];
   const entry: Target[] = [];
   for (const { name: region, clientPrefix } of settings.regions) {
-    const { caller } = settings.steers.find((one) => one.region === region)!;
+    const { caller } = settings.steers.find((steer) =>
+      steer.region === region
+    )!;
     const url = `http://${caller}/v1/lookup/${name}?client=${clientPrefix}.1.1`;
     const response = await request(url, { dispatcher: agent });
     const answer = await response.body.json() as LookupAnswer;
--- a/src/load/runner.ts
+++ b/src/load/runner.ts
@@ -43,7 +43,7 @@
  * @returns The running load.
  */
 export function startLoad(options: LoadRunOptions): LoadRun {
-  const { arrivals, durationMs, clock, getCaller: callerOf } = options;
+  const { arrivals, durationMs, clock, getCaller } = options;
   const records: CallRecord[] = [];
   const startMs = clock.monotonicMs();
   const startWallMs = clock.now().getTime();
@@ -57,7 +57,7 @@
     pending += 1;
     const { call } = arrival;
     const result = await withTimeout(
-      callerOf(call.clientIp).call(call),
+      getCaller(call.clientIp).call(call),
       call.deadlineMs + RESULT_GRACE_MS,
     );
     pending -= 1;
