--- a/bench/slopes/lookups.ts
+++ b/bench/slopes/lookups.ts
@@ -87,7 +87,7 @@
         planNumber: 1,
         regionOf,
         serving: members,
-        utilizationOf: () => 0,
+        getUtilization: () => 0,
         wallMs: 0,
       }));
       if (text === undefined) throw new Error("No answer");
--- a/bench/slopes/state.ts
+++ b/bench/slopes/state.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import { createKeyRegistry } from "../../src/forwarding/key_registry.ts";
 import { parseKey } from "../../src/forwarding/keys.ts";
-import { noteHeartbeat, observeMembers } from "../../src/membership/logic.ts";
+import { observeMembers, recordHeartbeat } from "../../src/membership/logic.ts";
 import { createMembershipState } from "../../src/membership/state.ts";
 import { applyChanges, createReplicaState } from "../../src/replica/logic.ts";
 import type { Row } from "../report.ts";
@@ -19,7 +19,11 @@
   const fill = (size: number) => {
     const state = createMembershipState(makeMember(0));
     for (let index = 1; index <= size; index++) {
-      noteHeartbeat(state, { member: makeMember(index), throughVersion: 1 }, 0);
+      recordHeartbeat(
+        state,
+        { member: makeMember(index), throughVersion: 1 },
+        0,
+      );
     }
     return state;
   };
--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -27,7 +27,7 @@
 }
 
 /** A checked document and what an operator should know about it. */
-export interface Checked<T> {
+export interface CheckedDocument<T> {
   document: T;
   /** Conflicts that do not stop it; the safe side wins at run time. */
   warnings: DocumentProblem[];
@@ -43,12 +43,12 @@
 export function checkService(
   source: DocumentSource,
   fleet?: FleetDocument,
-): Result<Checked<ServiceDocument>, DocumentProblem[]> {
+): Result<CheckedDocument<ServiceDocument>, DocumentProblem[]> {
   return parseDocument(source, serviceSchema).andThen((document) => {
     const findings = [
       ...findDuplicates(document.backendServers, "backendServers"),
       ...findUnknownDrains(document),
-      ...(fleet ? findUnknownPlaces(document, fleet) : []),
+      ...(fleet ? findUnknownLocations(document, fleet) : []),
     ];
     if (findings.length > 0) {
       return err(findings.map((found) => locateProblem(source, found)));
@@ -67,12 +67,12 @@
  */
 export function checkFleet(
   source: DocumentSource,
-): Result<Checked<FleetDocument>, DocumentProblem[]> {
+): Result<CheckedDocument<FleetDocument>, DocumentProblem[]> {
   return parseDocument(source, fleetSchema).andThen((document) => {
     const findings = [
       ...findDuplicates(document.entryVms, "entryVms"),
       ...findUnknownFleetNames(document),
-      ...findBadBlocks(document),
+      ...findInvalidBlocks(document),
     ];
     if (findings.length > 0) {
       return err(findings.map((found) => locateProblem(source, found)));
@@ -96,7 +96,7 @@
 }
 
 function findUnknownDrains(document: ServiceDocument): Finding[] {
-  const known = {
+  const knownNames = {
     backendServer: new Set(document.backendServers.map(({ id }) => id)),
     failureDomain: new Set(
       document.backendServers.map(({ failureDomain }) => failureDomain),
@@ -104,16 +104,16 @@
     region: new Set(document.regions),
   };
   return document.drains.flatMap((drain, index) =>
-    known[drain.scope].has(drain.name) ? [] : [{
+    knownNames[drain.scope].has(drain.name) ? [] : [{
       path: ["drains", index, "name"],
       problem: `No ${drain.scope} is named "${drain.name}"; allowed: ${
-        [...known[drain.scope]].join(", ")
+        [...knownNames[drain.scope]].join(", ")
       }`,
     }]
   );
 }
 
-function findUnknownPlaces(
+function findUnknownLocations(
   document: ServiceDocument,
   fleet: FleetDocument,
 ): Finding[] {
@@ -141,16 +141,18 @@
   fleet: FleetDocument | undefined,
 ): Finding[] {
   const findings: Finding[] = [];
-  const expected = Object.values(document.expectedRequestsPerS)
+  const expectedPerS = Object.values(document.expectedRequestsPerS)
     .reduce((sum, rate) => sum + rate, 0);
-  const neededSlots = expected * document.expectedServiceMs / 1_000;
-  const keptSlots = countUndrainedSlots(document, fleet) *
+  const neededSlots = expectedPerS * document.expectedServiceMs / 1_000;
+  const availableSlots = countUndrainedSlots(document, fleet) *
     (1 - document.headroomShare);
-  if (neededSlots > keptSlots) {
+  if (neededSlots > availableSlots) {
     findings.push({
       path: ["expectedRequestsPerS"],
       problem: `Needs ${neededSlots.toFixed(0)} slots, but capacity less ` +
-        `drains and headroom is ${keptSlots.toFixed(0)}; the excess will be ` +
+        `drains and headroom is ${
+          availableSlots.toFixed(0)
+        }; the excess will be ` +
         "refused as not run",
     });
   }
@@ -215,13 +217,13 @@
   return findings;
 }
 
-function findBadBlocks(document: FleetDocument): Finding[] {
+function findInvalidBlocks(document: FleetDocument): Finding[] {
   return document.clientBlocks.flatMap(({ cidr, blockPrefixLength }, index) => {
     const [address, length] = cidr.split("/");
     const prefixLength = Number(length);
-    const fits = parseIpv4(address) !== undefined && prefixLength <= 32 &&
+    const isValid = parseIpv4(address) !== undefined && prefixLength <= 32 &&
       prefixLength <= blockPrefixLength;
-    return fits ? [] : [{
+    return isValid ? [] : [{
       path: ["clientBlocks", index, "cidr"],
       problem: `"${cidr}" is not a range of /${blockPrefixLength} blocks; ` +
         `allowed: an IPv4 number and a prefix length up to ${blockPrefixLength}`,
--- a/src/config/check_test.ts
+++ b/src/config/check_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { checkFleet, checkService } from "./check.ts";
-import { makeService } from "./fixture.ts";
+import { makeServiceText } from "./fixture.ts";
 import { formatProblem } from "./jsonc.ts";
 import type { FleetDocument } from "./schema.ts";
 
@@ -10,39 +10,39 @@
 } as FleetDocument;
 
 test("a document gets its defaults", () => {
-  const source = { file: "enrol.jsonc", text: makeService() };
+  const source = { file: "enrol.jsonc", text: makeServiceText() };
   const { document, warnings } = checkService(source, fleet)._unsafeUnwrap();
   assert.is(document.backendServers[0].connections, 400);
   assert.equal(document.coldStart, { rampS: 10, initialShare: 0.2 });
   assert.equal(warnings, []);
 });
 
-const broken: [string, string, RegExp][] = [
+const invalidDocuments: [string, string, RegExp][] = [
   ["not JSON", '{ "service": }', /^enrol\.jsonc:1:\d+: Not JSON/],
-  ["unknown field", makeService({ shfitCap: 1 }), /shfitCap/],
+  ["unknown field", makeServiceText({ shfitCap: 1 }), /shfitCap/],
   [
     "cap above 1",
-    makeService({ shiftCap: { maxShare: 2, windowS: 10 } }),
+    makeServiceText({ shiftCap: { maxShare: 2, windowS: 10 } }),
     /enrol\.jsonc:\d+:17: shiftCap\.maxShare: .*<=1/,
   ],
   [
     "missing field",
-    makeService({ classes: undefined }),
+    makeServiceText({ classes: undefined }),
     /enrol\.jsonc:2:1: classes: /,
   ],
   [
     "unknown region",
-    makeService({ regions: ["dakar"] }),
+    makeServiceText({ regions: ["dakar"] }),
     /regions\[0\]: No region is named "dakar"; allowed: thies/,
   ],
   [
     "unknown drain",
-    makeService({ drains: [{ scope: "backendServer", name: "enrol-9" }] }),
+    makeServiceText({ drains: [{ scope: "backendServer", name: "enrol-9" }] }),
     /drains\[0\]\.name: .*allowed: enrol-1/,
   ],
   [
     "host name for an address",
-    makeService({
+    makeServiceText({
       backendServers: [{
         id: "enrol-1",
         failureDomain: "thies-1",
@@ -54,12 +54,12 @@
   ],
   [
     "no cap",
-    makeService({ shiftCap: undefined }),
+    makeServiceText({ shiftCap: undefined }),
     /shiftCap/,
   ],
 ];
 
-for (const [name, text, expected] of broken) {
+for (const [name, text, expected] of invalidDocuments) {
   test(`${name} is refused with file, line and field`, () => {
     const checked = checkService({ file: "enrol.jsonc", text }, fleet);
     const problems = checked._unsafeUnwrapErr().map(formatProblem).join("\n");
@@ -68,7 +68,7 @@
 }
 
 test("capacity that can't serve what is expected is a warning", () => {
-  const text = makeService({
+  const text = makeServiceText({
     expectedRequestsPerS: { thies: 1_000 },
     expectedServiceMs: 50,
   });
--- a/src/config/fixture.ts
+++ b/src/config/fixture.ts
@@ -11,7 +11,7 @@
  * @param changes Fields that differ from a service with one backend server.
  * @returns Its document, as an operator writes it.
  */
-export function makeService(changes: Record<string, unknown> = {}): string {
+export function makeServiceText(changes: Record<string, unknown> = {}): string {
   const document = {
     service: TEST_SERVICE,
     regions: ["thies"],
--- a/src/config/jsonc.ts
+++ b/src/config/jsonc.ts
@@ -73,20 +73,20 @@
 
 /**
  * @param source The document.
- * @param found The field's path and what is wrong with it.
+ * @param finding The field's path and what is wrong with it.
  * @returns The problem with its line and column.
  */
 export function locateProblem(
   source: DocumentSource,
-  found: { path: FieldPath; problem: string },
+  finding: { path: FieldPath; problem: string },
 ): DocumentProblem {
   const tree = parseTree(source.text, [], { allowTrailingComma: true });
-  const node = tree && findNearest(tree, found.path);
+  const node = tree && findNearestNode(tree, finding.path);
   return {
     file: source.file,
     ...findPosition(source.text, node?.offset ?? 0),
-    field: formatPath(found.path),
-    problem: found.problem,
+    field: formatPath(finding.path),
+    problem: finding.problem,
   };
 }
 
@@ -96,14 +96,14 @@
  */
 export function formatProblem(problem: DocumentProblem): string {
   const { file, line, column, field } = problem;
-  const place = `${file}:${line}:${column}`;
+  const position = `${file}:${line}:${column}`;
   return field === ""
-    ? `${place}: ${problem.problem}`
-    : `${place}: ${field}: ${problem.problem}`;
+    ? `${position}: ${problem.problem}`
+    : `${position}: ${field}: ${problem.problem}`;
 }
 
 /** A missing field has no place of its own: its nearest parent's is taken. */
-function findNearest(tree: Node, path: FieldPath): Node | undefined {
+function findNearestNode(tree: Node, path: FieldPath): Node | undefined {
   for (let length = path.length; length >= 0; length--) {
     const node = findNodeAtLocation(tree, path.slice(0, length));
     if (node !== undefined) return node;
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -16,38 +16,38 @@
 } from "./rows.ts";
 
 /** A document as read for editing. */
-export interface ReadDocument {
+export interface CurrentDocument {
   /** Version of the row, to be given back with a put; 0 where there is none. */
   rowVersion: number;
   stored: StoredDocument | undefined;
 }
 
 /** A put of a new version. */
-export interface PutDocument {
+export interface PutRequest {
   key: string;
   text: string;
   author: string;
   /** Row version that the text was edited from. */
-  editedFrom: number;
+  baseRowVersion: number;
 }
 
 /** How a put ended. */
 export type PutOutcome =
   | { outcome: "accepted"; number: number; rowVersion: number }
   /** Another edit came first; nothing was written. */
-  | { outcome: "race"; theirs: ReadDocument };
+  | { outcome: "race"; theirs: CurrentDocument };
 
 /** Reads and writes documents. */
 export interface DocumentStore {
-  read(key: string): Promise<Result<ReadDocument, StepError>>;
+  read(key: string): Promise<Result<CurrentDocument, StepError>>;
   /** @returns How it ended; an error of kind `unknown` leaves it open. */
-  put(put: PutDocument): Promise<Result<PutOutcome, StepError>>;
+  put(put: PutRequest): Promise<Result<PutOutcome, StepError>>;
   /** @returns All versions, oldest first. */
   history(key: string): Promise<Result<StoredDocument[], StepError>>;
 }
 
 /** Reads that resolve a lost answer before giving up. */
-const READ_BACK_TRIES = 5;
+const MAX_READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 300;
 
 /**
@@ -61,18 +61,18 @@
 ): DocumentStore {
   async function read(key: string) {
     const row = await table.read(key);
-    return row.map((found): ReadDocument => ({
+    return row.map((found): CurrentDocument => ({
       rowVersion: found.version,
       stored: parseStoredDocument(found),
     }));
   }
 
   async function put(
-    { key, text, author, editedFrom }: PutDocument,
+    { key, text, author, baseRowVersion }: PutRequest,
   ): Promise<Result<PutOutcome, StepError>> {
     const before = await read(key);
     if (before.isErr()) return err(before.error);
-    if (before.value.rowVersion !== editedFrom) {
+    if (before.value.rowVersion !== baseRowVersion) {
       return ok({ outcome: "race", theirs: before.value });
     }
     const number = (before.value.stored?.number ?? 0) + 1;
@@ -83,7 +83,7 @@
     const commit = await table.transact({
       writeId,
       conditions: [
-        { key, version: editedFrom },
+        { key, version: baseRowVersion },
         { key: historyKey, version: 0 },
       ],
       puts: [{ key, value }, { key: historyKey, value }],
@@ -104,7 +104,7 @@
   async function readBack(
     write: { key: string; historyKey: string; writeId: string; number: number },
   ): Promise<Result<PutOutcome, StepError>> {
-    for (let attempt = 0; attempt < READ_BACK_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_READ_BACK_ATTEMPTS; attempt++) {
       const row = await table.read(write.historyKey);
       if (row.isOk() && row.value.version > 0) {
         if (row.value.writeId === write.writeId) {
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -21,21 +21,21 @@
   },
 };
 
-type LostAnswer = "after" | "before";
+type LostAnswerTiming = "after" | "before";
 
 /** A table that loses the answer to the next write. */
 class LossyTable extends MemoryTable {
-  lose: LostAnswer | undefined;
+  loseAnswer: LostAnswerTiming | undefined;
   writes = 0;
 
   override async transact(transaction: Transaction): PlatformResult<Commit> {
     this.writes += 1;
-    const { lose } = this;
-    this.lose = undefined;
-    const commit = lose === "before"
+    const { loseAnswer } = this;
+    this.loseAnswer = undefined;
+    const commit = loseAnswer === "before"
       ? ok<Commit, StepError>({ outcome: "committed", version: 0 })
       : await super.transact(transaction);
-    if (lose === undefined) return commit;
+    if (loseAnswer === undefined) return commit;
     return err(
       new StepError("Lost", { step: "t", peer: "table", kind: "unknown" }),
     );
@@ -47,11 +47,11 @@
   return { table, store: createDocumentStore(table, instantClock) };
 }
 
-const put = (text: string, editedFrom: number) => ({
+const put = (text: string, baseRowVersion: number) => ({
   key: KEY,
   text,
   author: "ann",
-  editedFrom,
+  baseRowVersion,
 });
 
 test("two editors race: the second is refused and shown the first", async () => {
@@ -78,7 +78,7 @@
 
 test("a lost answer after the write is resolved without writing twice", async () => {
   const { table, store } = setUp();
-  table.lose = "after";
+  table.loseAnswer = "after";
   const result = (await store.put(put("one", 0)))._unsafeUnwrap();
   assert.is(result.outcome, "accepted");
   assert.is(table.writes, 1);
@@ -87,7 +87,7 @@
 
 test("a lost answer without a write is told to be unknown", async () => {
   const { table, store } = setUp();
-  table.lose = "before";
+  table.loseAnswer = "before";
   const result = await store.put(put("one", 0));
   assert.is(result._unsafeUnwrapErr().kind, "unknown");
   assert.is(table.writes, 1);
@@ -97,7 +97,7 @@
   const { table, store } = setUp();
   await store.put(put("zero", 0));
   const from = (await store.read(KEY))._unsafeUnwrap().rowVersion;
-  table.lose = "after";
+  table.loseAnswer = "after";
   const pending = store.put(put("one", from));
   const result = (await pending)._unsafeUnwrap();
   assert.is(result.outcome, "accepted");
--- a/src/config/view_test.ts
+++ b/src/config/view_test.ts
@@ -1,36 +1,36 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { EPOCH_STRIDE, type Row } from "../platform/types.ts";
-import { makeService, TEST_SERVICE } from "./fixture.ts";
+import { makeServiceText, TEST_SERVICE } from "./fixture.ts";
 import { getServiceKey } from "./rows.ts";
 import { applyConfigRow, createConfigView } from "./view.ts";
 
 function makeRow(number: number, version: number, atMs: number): Row {
-  const stored = { number, text: makeService(), author: "a", atMs };
+  const stored = { number, text: makeServiceText(), author: "a", atMs };
   const value = JSON.stringify(stored);
   return { key: getServiceKey(TEST_SERVICE), version, writeId: "w", value };
 }
 
-function getNumber(...rows: Row[]): number | undefined {
+function getNumberInForce(...rows: Row[]): number | undefined {
   const view = createConfigView();
   for (const row of rows) applyConfigRow(view, row);
   return view.services.get(TEST_SERVICE)?.number;
 }
 
 test("the latest version of a document is in force", () => {
-  assert.is(getNumber(makeRow(1, 3, 100), makeRow(2, 4, 50)), 2);
-  assert.is(getNumber(makeRow(2, 4, 50), makeRow(1, 3, 100)), 2);
+  assert.is(getNumberInForce(makeRow(1, 3, 100), makeRow(2, 4, 50)), 2);
+  assert.is(getNumberInForce(makeRow(2, 4, 50), makeRow(1, 3, 100)), 2);
 });
 
 // A restored table lists documents that were replaced since its copy.
 test("a restored table takes no document back", () => {
   const lost = makeRow(2, 9, 200);
   const copied = makeRow(1, EPOCH_STRIDE + 3, 100);
-  assert.is(getNumber(lost, copied), 2);
+  assert.is(getNumberInForce(lost, copied), 2);
   const putAgain = makeRow(2, EPOCH_STRIDE + 4, 300);
-  assert.is(getNumber(lost, copied, putAgain), 2);
+  assert.is(getNumberInForce(lost, copied, putAgain), 2);
   const putNext = makeRow(3, EPOCH_STRIDE + 5, 400);
-  assert.is(getNumber(lost, copied, putNext), 3);
+  assert.is(getNumberInForce(lost, copied, putNext), 3);
 });
 
 test.run();
--- a/src/control/agent.ts
+++ b/src/control/agent.ts
@@ -8,9 +8,9 @@
 import { forgetOldLoad, type LoadState } from "../measurement/state.ts";
 import {
   listServing,
-  noteHeartbeat,
-  noteLinkClosed,
   observeMembers,
+  recordHeartbeat,
+  recordLinkClosed,
 } from "../membership/logic.ts";
 import { createMembershipState } from "../membership/state.ts";
 import type { Member, Role } from "../membership/types.ts";
@@ -24,16 +24,21 @@
 import { createLogger } from "../runtime/logger.ts";
 import { LEASE_KEY, readLease } from "../steering/lease.ts";
 import { createDialer } from "./dialer.ts";
-import { type Feed, rankReaders, readSnapshot, startFeed } from "./feed.ts";
+import {
+  type ChangeFeed,
+  rankReaders,
+  readSnapshot,
+  startChangeFeed,
+} from "./change_feed.ts";
 import { createLinkTable } from "./link_table.ts";
-import { createLoadExchange, type Planner } from "./loads.ts";
+import { createLoadExchange, type PlannerLocation } from "./load_exchange.ts";
 import { type PeerMessage, peerMessageSchema } from "./messages.ts";
 import { acceptLinks, linkTraffic } from "../runtime/peer_link.ts";
 import type { PeerLink } from "./links.ts";
-import { createServerNews } from "./server_news.ts";
-import { chooseLinks, listRelays } from "./topology.ts";
+import { createServerStatusExchange } from "./server_status.ts";
+import { listPeerAddresses, listRelays } from "./topology.ts";
 import type { AgentOptions, ControlAgent } from "./types.ts";
-import { createViewExchange } from "./views.ts";
+import { createViewExchange } from "./view_exchange.ts";
 
 const log = createLogger("control");
 
@@ -79,7 +84,7 @@
     onClose(link: PeerLink) {
       const member = links.get(link)?.member;
       links.close(link);
-      if (member) noteLinkClosed(membership, member.id);
+      if (member) recordLinkClosed(membership, member.id);
     },
   };
 
@@ -101,7 +106,7 @@
     return first?.id === self.vmId;
   }
 
-  const news = createServerNews({ self, links });
+  const news = createServerStatusExchange({ self, links });
   const views = createViewExchange({ links, membership, clock, isRelay });
   const loadExchange = createLoadExchange({
     self,
@@ -112,7 +117,7 @@
     planner: findPlanner,
   });
 
-  function findPlanner(): Planner | undefined {
+  function findPlanner(): PlannerLocation | undefined {
     const id = readLease(replica.rows.get(LEASE_KEY))?.holder;
     const vm = config.fleet?.document.entryVms
       .find((one) => id === `${one.id}/steer`);
@@ -165,7 +170,7 @@
     highestHeard = Math.max(highestHeard, throughVersion);
     if (member.failureDomain === self.failureDomain) {
       const nowMs = clock.monotonicMs();
-      noteHeartbeat(membership, { member, throughVersion }, nowMs);
+      recordHeartbeat(membership, { member, throughVersion }, nowMs);
       sendMissing(link);
     } else if (isStuck) sendMissing(link);
     checkReady();
@@ -192,7 +197,7 @@
     bringIntoForce(applied.changed);
     // Other failure domains read the table too: they are sent rows only once
     // two of their heartbeats show the same version.
-    for (const [link] of links.inDomain()) sendMissing(link);
+    for (const [link] of links.listOwnDomain()) sendMissing(link);
     checkReady();
   }
 
@@ -205,7 +210,7 @@
 
   function dialPeers(): void {
     const fleet = config.fleet?.document;
-    dialer.dial(fleet ? chooseLinks(fleet, self) : seeds);
+    dialer.setTargets(fleet ? listPeerAddresses(fleet, self) : seeds);
   }
 
   function tick(): void {
@@ -213,9 +218,9 @@
     const isSlowTick = ticks % SLOW_EVERY_TICKS === 0;
     const { throughVersion } = replica;
     const heartbeat = { kind: "heartbeat" as const, throughVersion };
-    links.sendInDomain(heartbeat);
+    links.sendToOwnDomain(heartbeat);
     if (isSlowTick) {
-      links.sendElsewhere(heartbeat);
+      links.sendToOtherDomains(heartbeat);
       if (self.role === "steer") views.sendOwn(throughVersion);
       forgetOldLoad(loads, clock.monotonicMs());
     }
@@ -260,7 +265,7 @@
     receiveChanges(snapshot);
   }
 
-  const feed: Feed | undefined = platform && startFeed({
+  const feed: ChangeFeed | undefined = platform && startChangeFeed({
     platform,
     clock,
     rank: () => config.fleet === undefined ? 0 : getReaderRank(),
@@ -274,10 +279,10 @@
   });
   dialPeers();
   const timers: Timer[] = [
-    clock.every(membership.times.heartbeatPeriodMs, tick),
+    clock.every(membership.timings.heartbeatPeriodMs, tick),
     clock.after(SNAPSHOT_AFTER_MS, () => void takeSnapshot()),
     clock.every(VM_LIST_PERIOD_MS, () => {
-      if (platform && isOwnReader()) void news.readVms(platform.vms);
+      if (platform && isOwnReader()) void news.readVmList(platform.vms);
     }),
   ];
 
@@ -306,7 +311,7 @@
       return clock.monotonicMs() - lastReadMs;
     },
     throughVersion: () => replica.throughVersion,
-    applyOwnWrite: receiveChanges,
+    applyCommittedWrite: receiveChanges,
     allRows: () => collectChanges(replica, 0),
     ready,
     dump: () => ({
--- a/src/control/feed.ts
+++ b/src/control/change_feed.ts
@@ -19,7 +19,7 @@
 /** Time between two reads of the first reader. */
 export const READ_PERIOD_MS = 250;
 /** Time between two reads of the one behind it. */
-export const SECOND_PERIOD_MS = 1_000;
+export const STANDBY_READ_PERIOD_MS = 1_000;
 /** Name of the object that holds the last known rows. */
 export const SNAPSHOT_NAME = "replica/snapshot";
 
@@ -33,7 +33,7 @@
 }
 
 /** What the feed needs to know. */
-export interface FeedOptions {
+export interface ChangeFeedOptions {
   platform: Platform;
   clock: Clock;
   /** Place of this process among the readers, from 0; -1 for none. */
@@ -44,7 +44,7 @@
 }
 
 /** A running feed. */
-export interface Feed {
+export interface ChangeFeed {
   /** When the table last answered, in monotonic ms; undefined if never. */
   lastReadMs(): number | undefined;
   close(): void;
@@ -56,7 +56,7 @@
  * @param options See there.
  * @returns The running feed.
  */
-export function startFeed(options: FeedOptions): Feed {
+export function startChangeFeed(options: ChangeFeedOptions): ChangeFeed {
   const { platform, clock, rank, throughVersion, onChanges } = options;
   const reads = new PQueue({ concurrency: 1 });
   const startedMs = clock.monotonicMs();
@@ -80,7 +80,7 @@
     const place = rank();
     if (place < 0 || place >= READERS_PER_DOMAIN) return;
     const sinceMs = clock.monotonicMs() - startedMs;
-    const isSecondDue = sinceMs % SECOND_PERIOD_MS < READ_PERIOD_MS;
+    const isSecondDue = sinceMs % STANDBY_READ_PERIOD_MS < READ_PERIOD_MS;
     if (place === 0 || isSecondDue) void reads.add(read);
   }
 
--- a/src/control/dialer.ts
+++ b/src/control/dialer.ts
@@ -19,7 +19,7 @@
 /** Keeps links. */
 export interface Dialer {
   /** Dials new addresses, closes links to those no longer wanted. */
-  dial(addresses: Iterable<string>): void;
+  setTargets(addresses: Iterable<string>): void;
   close(): void;
 }
 
@@ -31,7 +31,7 @@
   const { translate } = options;
   const dialed = new Map<string, DialedLink>();
   return {
-    dial(addresses) {
+    setTargets(addresses) {
       const wanted = new Set(addresses);
       for (const [address, link] of dialed) {
         if (wanted.has(address)) continue;
--- a/src/control/link_table.ts
+++ b/src/control/link_table.ts
@@ -33,10 +33,10 @@
   get(link: PeerLink): LinkState | undefined;
   all(): Iterable<[PeerLink, LinkState]>;
   /** @returns Links to members of the own failure domain. */
-  inDomain(filter?: LinkFilter): [PeerLink, LinkState][];
-  sendInDomain(message: PeerMessage, filter?: LinkFilter): void;
+  listOwnDomain(filter?: LinkFilter): [PeerLink, LinkState][];
+  sendToOwnDomain(message: PeerMessage, filter?: LinkFilter): void;
   /** Sends to other failure domains, or to one of them. */
-  sendElsewhere(message: PeerMessage, toDomain?: string): void;
+  sendToOtherDomains(message: PeerMessage, toDomain?: string): void;
 }
 
 /**
@@ -46,14 +46,14 @@
 export function createLinkTable(failureDomain: string): LinkTable {
   const links = new Map<PeerLink, LinkState>();
 
-  function inDomain({ role, except }: LinkFilter = {}) {
+  function listOwnDomain({ role, except }: LinkFilter = {}) {
     return [...links].filter(([link, { member }]) =>
       link !== except && member?.failureDomain === failureDomain &&
       (role === undefined || member.role === role)
     );
   }
 
-  function elsewhere(toDomain: string | undefined) {
+  function listOtherDomains(toDomain: string | undefined) {
     return [...links].filter(([, { member }]) =>
       member !== undefined && member.failureDomain !== failureDomain &&
       (toDomain === undefined || member.failureDomain === toDomain)
@@ -74,12 +74,12 @@
     close: (link) => void links.delete(link),
     get: (link) => links.get(link),
     all: () => links,
-    inDomain,
-    sendInDomain(message, filter) {
-      for (const [link] of inDomain(filter)) link.send(message);
+    listOwnDomain,
+    sendToOwnDomain(message, filter) {
+      for (const [link] of listOwnDomain(filter)) link.send(message);
     },
-    sendElsewhere(message, toDomain) {
-      for (const [link] of elsewhere(toDomain)) link.send(message);
+    sendToOtherDomains(message, toDomain) {
+      for (const [link] of listOtherDomains(toDomain)) link.send(message);
     },
   };
 }
--- a/src/control/loads.ts
+++ b/src/control/load_exchange.ts
@@ -20,7 +20,7 @@
 const ELSEWHERE_PERIOD_MS = 1_000;
 
 /** The steer that plans. */
-export interface Planner {
+export interface PlannerLocation {
   /** Member id. */
   id: string;
   failureDomain: string;
@@ -35,7 +35,7 @@
   /** Whether this steer passes others' figures on. */
   isRelay(): boolean;
   /** The steer that plans, if known. */
-  planner(): Planner | undefined;
+  planner(): PlannerLocation | undefined;
 }
 
 /** Sends and receives figures. */
@@ -69,17 +69,20 @@
     // Entries need to know of each other only who has room.
     const slim = received.map((load) => ({ ...load, services: [] }));
     const filter = { role: "entry" as const, except: link };
-    links.sendInDomain({ kind: "load", loads: slim }, filter);
+    links.sendToOwnDomain({ kind: "load", loads: slim }, filter);
     const due = received.filter((load) => isDueElsewhere(load, nowMs));
     const target = planner();
     if (due.length === 0 || target === undefined) return;
-    links.sendElsewhere({ kind: "load", loads: due }, target.failureDomain);
+    links.sendToOtherDomains(
+      { kind: "load", loads: due },
+      target.failureDomain,
+    );
   }
 
   /** The last step of figures from another failure domain. */
   function sendToPlanner(received: readonly EntryLoad[]): void {
     const target = planner();
-    for (const [link, { member }] of links.inDomain({ role: "steer" })) {
+    for (const [link, { member }] of links.listOwnDomain({ role: "steer" })) {
       if (member?.id !== target?.id) continue;
       link.send({ kind: "load", loads: [...received] });
     }
@@ -102,7 +105,7 @@
       sentText = text;
       sentMs = nowMs;
       const message = { kind: "load" as const, loads: [load] };
-      links.sendInDomain(message, { role: "steer" });
+      links.sendToOwnDomain(message, { role: "steer" });
     },
     receive,
   };
--- a/src/control/server_news.ts
+++ b/src/control/server_status.ts
@@ -11,20 +11,20 @@
 import type { PeerLink } from "./links.ts";
 
 /** What the exchange needs. */
-export interface ServerNewsOptions {
+export interface ServerStatusOptions {
   self: Member;
   links: LinkTable;
 }
 
 /** Sends and receives news. */
-export interface ServerNews {
+export interface ServerStatusExchange {
   /** Shares probes that this entry made. */
   reportHealth(reports: HealthReport[]): void;
   /** Called with probes that another entry made. */
   onHealth(listener: (reports: HealthReport[]) => void): void;
   receiveHealth(link: PeerLink, reports: HealthReport[]): void;
   /** Reads the platform's list and tells the failure domain. */
-  readVms(list: VmList): Promise<void>;
+  readVmList(list: VmList): Promise<void>;
   receiveLeaving(ids: readonly string[]): void;
   /** Ids of VMs and backend servers that are leaving. */
   leaving(): ReadonlySet<string>;
@@ -34,15 +34,15 @@
  * @param options See there.
  * @returns The exchange.
  */
-export function createServerNews(
-  { self, links }: ServerNewsOptions,
-): ServerNews {
+export function createServerStatusExchange(
+  { self, links }: ServerStatusOptions,
+): ServerStatusExchange {
   const listeners: ((reports: HealthReport[]) => void)[] = [];
   let leaving: ReadonlySet<string> = new Set();
   return {
     reportHealth(reports) {
       // One steer is enough: each of them passes it on to every entry.
-      const [first] = links.inDomain({ role: "steer" });
+      const [first] = links.listOwnDomain({ role: "steer" });
       first?.[0].send({ kind: "health", reports });
     },
     onHealth: (listener) => void listeners.push(listener),
@@ -50,9 +50,9 @@
       for (const listener of listeners) listener(reports);
       if (self.role !== "steer") return;
       const message = { kind: "health" as const, reports };
-      links.sendInDomain(message, { role: "entry", except: link });
+      links.sendToOwnDomain(message, { role: "entry", except: link });
     },
-    async readVms(list) {
+    async readVmList(list) {
       const vms = await list.list();
       if (vms.isErr()) return;
       const ids = vms.value.filter(({ state }) => state === "leaving")
@@ -60,7 +60,7 @@
       const isSame = ids.length === leaving.size &&
         ids.every((id) => leaving.has(id));
       leaving = new Set(ids);
-      if (!isSame) links.sendInDomain({ kind: "vms", leaving: ids });
+      if (!isSame) links.sendToOwnDomain({ kind: "vms", leaving: ids });
     },
     receiveLeaving(ids) {
       leaving = new Set(ids);
--- a/src/control/topology.ts
+++ b/src/control/topology.ts
@@ -15,7 +15,7 @@
 export const RELAYS_PER_DOMAIN = 2;
 
 /** Who asks. */
-export interface TopologySelf {
+export interface LocalProcess {
   vmId: string;
   role: Role;
   failureDomain: string;
@@ -26,9 +26,9 @@
  * @param self Who asks.
  * @returns Peer addresses to dial.
  */
-export function chooseLinks(
+export function listPeerAddresses(
   fleet: FleetDocument,
-  self: TopologySelf,
+  self: LocalProcess,
 ): string[] {
   const own = fleet.entryVms.filter((vm) =>
     vm.failureDomain === self.failureDomain
@@ -61,7 +61,7 @@
 /** Of two domains, the one whose name is lower dials: no pair links twice. */
 function listRemoteRelays(
   fleet: FleetDocument,
-  self: TopologySelf,
+  self: LocalProcess,
 ): EntryVm[] {
   const domains = new Set(fleet.entryVms.map((vm) => vm.failureDomain));
   return [...domains]
--- a/src/control/topology_test.ts
+++ b/src/control/topology_test.ts
@@ -2,7 +2,11 @@
 import { test } from "uvu";
 import type { FleetDocument } from "../config/schema.ts";
 import type { Role } from "../membership/types.ts";
-import { chooseLinks, listRelays, RELAYS_PER_DOMAIN } from "./topology.ts";
+import {
+  listPeerAddresses,
+  listRelays,
+  RELAYS_PER_DOMAIN,
+} from "./topology.ts";
 
 function makeFleet(domains: number, vmsPerDomain: number): FleetDocument {
   const entryVms = Array.from(
@@ -24,7 +28,7 @@
   );
   for (const { id: vmId, failureDomain } of fleet.entryVms) {
     const self = { vmId, failureDomain, role: "steer" as Role };
-    for (const peer of chooseLinks(fleet, self)) {
+    for (const peer of listPeerAddresses(fleet, self)) {
       assert.not.ok(links.get(vmId)!.has(peer), `${vmId} and ${peer} twice`);
       links.get(vmId)!.add(peer);
       links.get(peer)!.add(vmId);
@@ -67,7 +71,7 @@
     failureDomain: "domain-0",
     role: "entry" as Role,
   };
-  const links = chooseLinks(fleet, self).sort();
+  const links = listPeerAddresses(fleet, self).sort();
   assert.equal(links, ["vm-0", "vm-12", "vm-18", "vm-6"]);
 });
 
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -62,7 +62,7 @@
   tableAgeMs(): number;
   throughVersion(): number;
   /** Applies rows that this process has just written itself. */
-  applyOwnWrite(changes: ChangeSet): void;
+  applyCommittedWrite(changes: ChangeSet): void;
   allRows(): ChangeSet;
   /** Resolves once a configuration is in force. */
   ready: Promise<void>;
--- a/src/control/views.ts
+++ b/src/control/view_exchange.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { makeOwnView, noteView } from "../membership/logic.ts";
+import { makeOwnView, recordView } from "../membership/logic.ts";
 import type { MembershipState } from "../membership/state.ts";
 import type { DomainView } from "../membership/types.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -58,11 +58,11 @@
     const state = links.get(link);
     const view = state && restore(state, wire);
     if (!state || !view) return;
-    const isNews = noteView(membership, view, clock.monotonicMs());
+    const isNews = recordView(membership, view, clock.monotonicMs());
     const isFirstHand = state.member?.failureDomain === view.failureDomain &&
       view.failureDomain !== self.failureDomain;
     if (!isNews || !isFirstHand || !isRelay()) return;
-    for (const [inside, insideState] of links.inDomain()) {
+    for (const [inside, insideState] of links.listOwnDomain()) {
       send(inside, insideState, view);
     }
   }
@@ -71,7 +71,7 @@
     sendOwn(throughVersion) {
       const nowMs = clock.monotonicMs();
       const view = makeOwnView(membership, throughVersion, nowMs);
-      noteView(membership, view, nowMs);
+      recordView(membership, view, nowMs);
       for (const [link, state] of links.all()) {
         if (state.member) send(link, state, view);
       }
--- a/src/daemon/frame.ts
+++ b/src/daemon/daemon_core.ts
@@ -19,10 +19,10 @@
 import { startSteering, type Steering } from "../steering/steering.ts";
 
 /** Time between two looks whether a newer process took the place. */
-const REPLACED_PERIOD_MS = 500;
+const REPLACEMENT_CHECK_PERIOD_MS = 500;
 
 /** How a daemon is made. */
-export interface FrameOptions {
+export interface DaemonCoreOptions {
   role: Role;
   settings: DaemonSettings;
   clock: Clock;
@@ -33,24 +33,24 @@
 }
 
 /** The common part of a daemon that runs. */
-export interface Frame {
+export interface DaemonCore {
   agent: ControlAgent;
   steering: Steering;
   metrics: Metrics;
   /** Gives the address to dial for a peer's address. */
   translate(address: string): string;
   /** Opens the operator address; `dump` adds the role's own state. */
-  openOperator(dump: () => Record<string, unknown>): Promise<void>;
+  startOperatorServer(dump: () => Record<string, unknown>): Promise<void>;
   /** Opens the callers' address once a configuration is in force. */
-  openCallers(router: Polka): Promise<void>;
+  startCallerServer(router: Polka): Promise<void>;
   /** Makes the daemon's two ways to end. */
-  makeDaemon(ending: Ending): Daemon;
+  makeDaemon(ending: ShutdownHooks): Daemon;
 }
 
 /** What a role adds to the end of a daemon. */
-export interface Ending {
+export interface ShutdownHooks {
   /** Time in which callers and peers learn that it leaves, in ms. */
-  leaveMs(): number;
+  getNoticeMs(): number;
   /** Ends what the role itself started. */
   close(): Promise<void>;
 }
@@ -61,7 +61,9 @@
  * @param options See there.
  * @returns The running part.
  */
-export async function startFrame(options: FrameOptions): Promise<Frame> {
+export async function startDaemonCore(
+  options: DaemonCoreOptions,
+): Promise<DaemonCore> {
   const { role, settings, clock, platform, peerRouter } = options;
   const { vmId, failureDomain, region, peerAddress } = settings;
   const statsd = settings.statsd ? splitAddress(settings.statsd) : undefined;
@@ -91,11 +93,11 @@
 
   let markReplaced: () => void = () => {};
   const replaced = new Promise<void>((resolve) => markReplaced = resolve);
-  const replacedTimer = clock.every(REPLACED_PERIOD_MS, () => {
+  const replacedTimer = clock.every(REPLACEMENT_CHECK_PERIOD_MS, () => {
     if (agent.replaced()) markReplaced();
   });
 
-  async function close(ending: Ending): Promise<void> {
+  async function close(ending: ShutdownHooks): Promise<void> {
     replacedTimer.cancel();
     await ending.close();
     steering.close();
@@ -104,14 +106,14 @@
     metrics.close();
   }
 
-  function makeDaemon(ending: Ending): Daemon {
+  function makeDaemon(ending: ShutdownHooks): Daemon {
     const callerServer = servers[servers.length - 1];
     return {
       replaced,
       async stop() {
         agent.leave();
         for (const server of servers) server.startClosing();
-        const leaveMs = ending.leaveMs();
+        const leaveMs = ending.getNoticeMs();
         await pause(clock, leaveMs);
         await callerServer.close();
         await close(ending);
@@ -128,7 +130,7 @@
     steering,
     metrics,
     translate,
-    async openOperator(dump) {
+    async startOperatorServer(dump) {
       servers.push(
         await openOperatorAddress({
           address: settings.operatorAddress,
@@ -138,7 +140,7 @@
         }),
       );
     },
-    async openCallers(router) {
+    async startCallerServer(router) {
       await agent.ready;
       servers.push(await listen(router, settings.callerAddress));
     },
--- a/src/deployment/in_process.ts
+++ b/src/deployment/in_process.ts
@@ -70,7 +70,12 @@
   for (const { name, document } of files.documents) {
     const key = name === "fleet" ? FLEET_KEY : getServiceKey(name);
     const text = JSON.stringify(document, null, 2);
-    const put = await store.put({ key, text, author: "test", editedFrom: 0 });
+    const put = await store.put({
+      key,
+      text,
+      author: "test",
+      baseRowVersion: 0,
+    });
     put._unsafeUnwrap();
   }
   const daemons = new Map<string, Daemon>();
--- a/src/deployment/whole_path_test.ts
+++ b/src/deployment/whole_path_test.ts
@@ -122,7 +122,7 @@
     key,
     text: JSON.stringify(document),
     author: "test",
-    editedFrom: read.rowVersion,
+    baseRowVersion: read.rowVersion,
   }))._unsafeUnwrap();
   assert.is(put.outcome, "accepted");
   for (const result of await Promise.all(inFlight)) assertAnswer(result);
@@ -223,7 +223,7 @@
   const read = (await deployment.store.read(key))._unsafeUnwrap();
   const document = JSON.parse(read.stored!.text);
   const text = JSON.stringify({ ...document, ...changes });
-  const put = { key, text, author: "test", editedFrom: read.rowVersion };
+  const put = { key, text, author: "test", baseRowVersion: read.rowVersion };
   (await deployment.store.put(put))._unsafeUnwrap();
 }
 
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { startFrame } from "../daemon/frame.ts";
+import { startDaemonCore } from "../daemon/daemon_core.ts";
 import { HttpBackendClient } from "../forwarding/backend_client.ts";
 import { ExpectedLatencyChoice } from "../forwarding/choice.ts";
 import { createDeadlyRequests } from "../forwarding/deadly_requests.ts";
@@ -14,7 +14,7 @@
 import { createLocalRunner } from "../forwarding/local_runner.ts";
 import { HttpPeerClient } from "../forwarding/peer_client.ts";
 import { addCallerRoutes, addHandoverRoute } from "../forwarding/routes.ts";
-import { createBlockSource } from "../lookup/routes.ts";
+import { createBlockTableGetter } from "../lookup/routes.ts";
 import { requireKey } from "../runtime/access.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { dial } from "../runtime/dial.ts";
@@ -23,9 +23,9 @@
 import { createRandom } from "../runtime/random.ts";
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { createEndCheck } from "../servers/end_check.ts";
-import { startServerWatch } from "./server_watch.ts";
+import { startServerMonitor } from "./server_monitor.ts";
 
-const LOAD_PERIOD_MS = 500;
+const LOAD_REPORT_PERIOD_MS = 500;
 /** Time beyond the longest answer's life until callers have gone elsewhere. */
 const LEAVE_SLACK_MS = 700;
 /** Seeds are 31-bit integers. */
@@ -44,28 +44,28 @@
 ): Promise<Daemon> {
   const peerRouter = createRouter();
   peerRouter.use(requireKey(settings.peerKey));
-  const frame = await startFrame({
+  const core = await startDaemonCore({
     role: "entry",
     settings,
     clock,
     platform: undefined,
     peerRouter,
   });
-  const { agent, steering, metrics } = frame;
+  const { agent, steering, metrics } = core;
   const random = createRandom(agent.self.incarnation & SEED_MASK);
   const backends = new HttpBackendClient();
   const policy = new ExpectedLatencyChoice(random);
-  const deadly = createDeadlyRequests(clock, createEndCheck(dial));
+  const poisonRequests = createDeadlyRequests(clock, createEndCheck(dial));
   const runner = createLocalRunner({
     clock,
     random,
     backends,
     policy,
-    deadly,
+    deadly: poisonRequests,
   });
-  const peers = new HttpPeerClient(settings.peerKey, frame.translate);
+  const peers = new HttpPeerClient(settings.peerKey, core.translate);
   const registry = createKeyRegistry();
-  const figures = createFigures({ self: agent.self, runner, clock, metrics });
+  const stats = createFigures({ self: agent.self, runner, clock, metrics });
   const links = createLinkLimiter();
   const flow = createFlow({
     agent,
@@ -77,21 +77,21 @@
     clock,
     random,
   });
-  const watch = startServerWatch({ agent, runner, backends, clock });
-  await frame.openOperator(() => ({
-    servers: watch.dump(),
+  const monitor = startServerMonitor({ agent, runner, backends, clock });
+  await core.startOperatorServer(() => ({
+    servers: monitor.dump(),
     keys: registry.size(),
-    outcomes: figures.counts(),
+    outcomes: stats.counts(),
   }));
-  const blocks = createBlockSource(agent);
-  const routeOptions = { agent, flow, figures, blocks, clock };
+  const blocks = createBlockTableGetter(agent);
+  const routeOptions = { agent, flow, figures: stats, blocks, clock };
   const callerRouter = createRouter();
   addHandoverRoute(peerRouter, routeOptions);
   addCallerRoutes(callerRouter, routeOptions);
-  await frame.openCallers(callerRouter);
+  await core.startCallerServer(callerRouter);
   const loadTimer = clock.every(
-    LOAD_PERIOD_MS,
-    () => agent.reportLoad(figures.read()),
+    LOAD_REPORT_PERIOD_MS,
+    () => agent.reportLoad(stats.read()),
   );
 
   function getLongestTtlMs(): number {
@@ -100,12 +100,12 @@
     return Math.max(0, ...ttls);
   }
 
-  return frame.makeDaemon({
-    leaveMs: () => getLongestTtlMs() + LEAVE_SLACK_MS,
+  return core.makeDaemon({
+    getNoticeMs: () => getLongestTtlMs() + LEAVE_SLACK_MS,
     async close() {
       loadTimer.cancel();
-      watch.close();
-      deadly.close();
+      monitor.close();
+      poisonRequests.close();
       await Promise.all([backends.close(), peers.close()]);
     },
   });
--- a/src/entry/server_watch.ts
+++ b/src/entry/server_monitor.ts
@@ -29,7 +29,7 @@
 const PROBE_PERIOD_MS = 1_000;
 
 /** What the watch needs. */
-export interface ServerWatchOptions {
+export interface ServerMonitorOptions {
   agent: ControlAgent;
   runner: LocalRunner;
   backends: BackendClient;
@@ -37,7 +37,7 @@
 }
 
 /** A running watch. */
-export interface ServerWatch {
+export interface ServerMonitor {
   dump(): unknown;
   close(): void;
 }
@@ -46,10 +46,12 @@
  * @param options See there.
  * @returns The running watch.
  */
-export function startServerWatch(options: ServerWatchOptions): ServerWatch {
+export function startServerMonitor(
+  options: ServerMonitorOptions,
+): ServerMonitor {
   const { agent, runner, backends, clock } = options;
   const { failureDomain, vmId } = agent.self;
-  const reported = new Set<string>();
+  const reportedDrains = new Set<string>();
 
   function listDocuments(): ServiceDocument[] {
     return [...agent.config().services.values()].map((inForce) =>
@@ -58,13 +60,13 @@
   }
 
   function getEntryShare(): EntryShare {
-    const own = agent.config().fleet?.document.entryVms
+    const ownDomainVmIds = agent.config().fleet?.document.entryVms
       .filter((vm) => vm.failureDomain === failureDomain)
       .map((vm) => vm.id) ?? [];
-    const index = own.indexOf(vmId);
+    const index = ownDomainVmIds.indexOf(vmId);
     // A VM that the fleet document does not list has no slots to use.
     if (index < 0) return { index: 0, count: Infinity };
-    return { index, count: own.length };
+    return { index, count: ownDomainVmIds.length };
   }
 
   function sync(): void {
@@ -96,9 +98,9 @@
   }
 
   function reportDrain({ server, leaving, drainMs }: ServerState): void {
-    if (leaving === undefined) reported.delete(server.id);
-    if (drainMs === undefined || reported.has(server.id)) return;
-    reported.add(server.id);
+    if (leaving === undefined) reportedDrains.delete(server.id);
+    if (drainMs === undefined || reportedDrains.has(server.id)) return;
+    reportedDrains.add(server.id);
     log.info("Backend server is empty", {
       step: "drain",
       peer: server.id,
@@ -111,28 +113,28 @@
     const entries = agent.serving("entry")
       .filter((member) => member.failureDomain === failureDomain)
       .map((member) => ({ id: member.id, weight: 1 }));
-    const own = listDocuments().flatMap((document) =>
+    const assignedServers = listDocuments().flatMap((document) =>
       document.backendServers.filter((server) =>
         server.failureDomain === failureDomain &&
         rankByRendezvous(`probe ${server.id}`, entries)[0]?.id === agent.self.id
       )
     );
     const reports = await Promise.all(
-      own.map((server) => backends.probe(server)),
+      assignedServers.map((server) => backends.probe(server)),
     );
     if (reports.length === 0) return;
-    takeReports(reports);
+    applyReports(reports);
     agent.reportHealth(reports);
   }
 
-  function takeReports(reports: HealthReport[]): void {
+  function applyReports(reports: HealthReport[]): void {
     const nowMs = clock.monotonicMs();
     for (const { set } of runner.lines()) {
       for (const report of reports) noteHealth(set, report, nowMs);
     }
   }
 
-  agent.onHealth(takeReports);
+  agent.onHealth(applyReports);
   agent.onRows(sync);
   const timers = [
     clock.every(SYNC_PERIOD_MS, sync),
--- a/src/load/control_cost.ts
+++ b/src/load/control_cost.ts
@@ -186,7 +186,7 @@
       key,
       text: `${read.stored!.text} `,
       author: "load",
-      editedFrom: read.rowVersion,
+      baseRowVersion: read.rowVersion,
     }))._unsafeUnwrap();
     if (put.outcome !== "accepted") continue;
     times.push(await watch.waitFor(name, put.number));
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -170,7 +170,7 @@
     key,
     text: edited,
     author: "load",
-    editedFrom: read.rowVersion,
+    baseRowVersion: read.rowVersion,
   });
   const outcome = put._unsafeUnwrap();
   if (outcome.outcome === "accepted") return outcome.number;
--- a/src/lookup/blocks.ts
+++ b/src/lookup/blocks.ts
@@ -40,7 +40,7 @@
 export function createBlockTable(
   ranges: FleetDocument["clientBlocks"],
 ): BlockTable {
-  const flat = flatten(ranges.map(parseRange));
+  const flat = flattenRanges(ranges.map(parseRange));
   const regions = [...new Set(flat.map(({ region }) => region))];
   const regionIndex = new Map(regions.map((name, index) => [name, index]));
   const first = Uint32Array.from(flat, (range) => range.first);
@@ -83,7 +83,7 @@
 }
 
 /** Cuts wider ranges around the narrower ones that they hold. */
-function flatten(ranges: Range[]): Range[] {
+function flattenRanges(ranges: Range[]): Range[] {
   const sorted = [...ranges].sort((a, b) =>
     a.first - b.first || b.last - a.last
   );
@@ -114,12 +114,12 @@
 }
 
 /** @returns Index of the last value at most `wanted`, or -1. */
-function findLastAtMost(values: Uint32Array, wanted: number): number {
+function findLastAtMost(values: Uint32Array, limit: number): number {
   let low = 0;
   let high = values.length - 1;
   while (low <= high) {
     const middle = (low + high) >>> 1;
-    if (values[middle] <= wanted) low = middle + 1;
+    if (values[middle] <= limit) low = middle + 1;
     else high = middle - 1;
   }
   return high;
--- a/src/lookup/logic.ts
+++ b/src/lookup/logic.ts
@@ -21,7 +21,7 @@
 /** Entries named in an answer. */
 export const MAX_ENTRIES = 4;
 /** An entry that uses more than this share of its slots is named last. */
-const FULL_UTILIZATION = 0.98;
+const SATURATED_UTILIZATION = 0.98;
 
 /** What an answer is made from. */
 export interface LookupInput {
@@ -36,7 +36,7 @@
   /** Entries that look alive and are not leaving. */
   serving: readonly Member[];
   /** @returns Share of its slots that an entry uses, by member id. */
-  utilizationOf(entryId: string): number;
+  getUtilization(entryId: string): number;
   /** Wall-clock time, in ms since the epoch. */
   wallMs: number;
 }
@@ -70,13 +70,13 @@
 }
 
 /** VMs by id, of each fleet document that was in force. */
-const vmsOfFleet = new WeakMap<FleetDocument, Map<string, EntryVm>>();
+const vmsByFleet = new WeakMap<FleetDocument, Map<string, EntryVm>>();
 
 function getVms(fleet: FleetDocument): Map<string, EntryVm> {
-  const known = vmsOfFleet.get(fleet);
-  if (known) return known;
+  const cached = vmsByFleet.get(fleet);
+  if (cached) return cached;
   const vms = new Map(fleet.entryVms.map((vm) => [vm.id, vm]));
-  vmsOfFleet.set(fleet, vms);
+  vmsByFleet.set(fleet, vms);
   return vms;
 }
 
@@ -86,18 +86,30 @@
 ): string | undefined {
   const regions = [...new Set(serving.map((member) => member.region))];
   return regions.sort((a, b) =>
-    distance(fleet, client.region, a) - distance(fleet, client.region, b) ||
+    getRankingDelayMs(fleet, client.region, a) -
+      getRankingDelayMs(fleet, client.region, b) ||
     a.localeCompare(b)
   )[0];
 }
 
-function distance(fleet: FleetDocument, from: string, to: string): number {
+function getRankingDelayMs(
+  fleet: FleetDocument,
+  from: string,
+  to: string,
+): number {
   return from === to ? -1 : getDelayMs(fleet, from, to);
 }
 
 /** Entries where the request will run come first; full ones come last. */
 function rankEntries(input: LookupInput, region: string): Member[] {
-  const { document, client, row, regionOf, serving, utilizationOf } = input;
+  const {
+    document,
+    client,
+    row,
+    regionOf,
+    serving,
+    getUtilization,
+  } = input;
   const request = {
     service: document.service,
     block: client.block,
@@ -119,11 +131,11 @@
     return rankByRendezvous(`entry ${client.block}`, candidates)
       .map(({ member }) => member);
   });
-  const isFull = (member: Member) =>
-    utilizationOf(member.id) > FULL_UTILIZATION;
+  const isSaturated = (member: Member) =>
+    getUtilization(member.id) > SATURATED_UTILIZATION;
   return [
-    ...members.filter((member) => !isFull(member)),
-    ...members.filter(isFull),
+    ...members.filter((member) => !isSaturated(member)),
+    ...members.filter(isSaturated),
   ];
 }
 
--- a/src/lookup/logic_test.ts
+++ b/src/lookup/logic_test.ts
@@ -12,7 +12,10 @@
 type Range = FleetDocument["clientBlocks"][number];
 
 /** The narrowest range that holds the client, by trying each. */
-function findNaively(ranges: Range[], client: number): string | undefined {
+function findRegionNaively(
+  ranges: Range[],
+  client: number,
+): string | undefined {
   let best: Range | undefined;
   let bestLength = -1;
   for (const range of ranges) {
@@ -54,7 +57,7 @@
         const table = createBlockTable(ranges);
         for (const client of clients) {
           const found = table.find(client)?.region;
-          assert.is(found, findNaively(ranges, client));
+          assert.is(found, findRegionNaively(ranges, client));
         }
       },
     ),
@@ -111,7 +114,7 @@
     planNumber: 2,
     regionOf: new Map([["a1", "a"], ["a2", "a"], ["b1", "b"]]),
     serving: vms.map((id) => makeEntry(id, id.slice(0, 2))),
-    utilizationOf: () => 0,
+    getUtilization: () => 0,
     wallMs: 0,
     ...changes,
   };
@@ -144,7 +147,9 @@
 test("a full entry is named last", () => {
   const first = answerLookup(makeInput())!.entries[0].id;
   const utilizationOf = (id: string) => id === `${first}/entry` ? 1 : 0;
-  const { entries } = answerLookup(makeInput({ utilizationOf }))!;
+  const { entries } = answerLookup(
+    makeInput({ getUtilization: utilizationOf }),
+  )!;
   assert.is(entries[entries.length - 1].id, first);
 });
 
--- a/src/lookup/routes.ts
+++ b/src/lookup/routes.ts
@@ -15,7 +15,7 @@
 import { answerLookup } from "./logic.ts";
 
 /** What the routes need. */
-export interface LookupOptions {
+export interface LookupRoutesOptions {
   agent: ControlAgent;
   steering: Steering;
   clock: Clock;
@@ -23,7 +23,7 @@
 }
 
 /** Keeps the table of the fleet document in force. */
-export function createBlockSource(agent: ControlAgent): () => BlockTable {
+export function createBlockTableGetter(agent: ControlAgent): () => BlockTable {
   let rowVersion = -1;
   let table = createBlockTable([]);
   return () => {
@@ -42,9 +42,12 @@
  * @param router The callers' router.
  * @param options See there.
  */
-export function addLookupRoutes(router: Polka, options: LookupOptions): void {
+export function addLookupRoutes(
+  router: Polka,
+  options: LookupRoutesOptions,
+): void {
   const { agent, steering, clock, metrics } = options;
-  const blocks = createBlockSource(agent);
+  const getBlockTable = createBlockTableGetter(agent);
 
   function refuse(response: ServerResponse, status: number, detail: string) {
     sendProblem(response, {
@@ -56,7 +59,7 @@
     });
   }
 
-  function utilizationOf(entryId: string): number {
+  function getUtilization(entryId: string): number {
     return agent.loads().get(entryId)?.load.utilization ?? 0;
   }
 
@@ -75,7 +78,7 @@
     if (address === undefined) {
       return refuse(response, 400, `client="${text}" is not an IPv4 number`);
     }
-    const client = blocks().find(address);
+    const client = getBlockTable().find(address);
     if (client === undefined) {
       return refuse(response, 404, `No client block holds ${text}`);
     }
@@ -89,7 +92,7 @@
       regionOf: config.regionOf,
       serving: agent.serving("entry")
         .filter((member) => !agent.leavingVms().has(member.vmId)),
-      utilizationOf,
+      getUtilization,
       wallMs: clock.now().getTime(),
     });
     metrics.count("lookups", { service });
--- a/src/membership/logic.ts
+++ b/src/membership/logic.ts
@@ -14,7 +14,7 @@
 } from "./types.ts";
 
 /** A heartbeat as it came in. */
-export interface HeardHeartbeat {
+export interface ReceivedHeartbeat {
   member: Member;
   throughVersion: number;
 }
@@ -23,23 +23,23 @@
  * Takes in a heartbeat.
  *
  * @param state Changed in place.
- * @param heard The heartbeat.
+ * @param heartbeat The heartbeat.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteHeartbeat(
+export function recordHeartbeat(
   state: MembershipState,
-  heard: HeardHeartbeat,
+  heartbeat: ReceivedHeartbeat,
   nowMs: number,
 ): void {
-  const { member, throughVersion } = heard;
-  if (noteSelfSeen(state, member)) return;
-  const known = state.direct.get(member.id);
-  if (known && known.member.incarnation > member.incarnation) return;
+  const { member, throughVersion } = heartbeat;
+  if (detectReplacement(state, member)) return;
+  const existing = state.direct.get(member.id);
+  if (existing && existing.member.incarnation > member.incarnation) return;
   state.direct.set(member.id, {
     member,
     throughVersion,
-    lastHeardMs: nowMs,
-    connected: true,
+    lastHeartbeatMs: nowMs,
+    isConnected: true,
   });
 }
 
@@ -49,9 +49,12 @@
  * @param state Changed in place.
  * @param memberId Whose link it was.
  */
-export function noteLinkClosed(state: MembershipState, memberId: string): void {
-  const known = state.direct.get(memberId);
-  if (known) known.connected = false;
+export function recordLinkClosed(
+  state: MembershipState,
+  memberId: string,
+): void {
+  const existing = state.direct.get(memberId);
+  if (existing) existing.isConnected = false;
 }
 
 /**
@@ -62,28 +65,28 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Whether it was news worth relaying.
  */
-export function noteView(
+export function recordView(
   state: MembershipState,
   view: DomainView,
   nowMs: number,
 ): boolean {
-  for (const member of view.members) noteSelfSeen(state, member);
-  const known = state.views.get(view.failureDomain);
-  if (known && !isNewer(view, known.view)) return false;
+  for (const member of view.members) detectReplacement(state, member);
+  const existing = state.views.get(view.failureDomain);
+  if (existing && !isNewer(view, existing.view)) return false;
   state.views.set(view.failureDomain, { view, receivedMs: nowMs });
   return true;
 }
 
 /** One author's views go by sequence; two authors' views both count as news. */
-function isNewer(view: DomainView, known: DomainView): boolean {
-  if (view.authorId !== known.authorId) return true;
-  if (view.authorIncarnation !== known.authorIncarnation) {
-    return view.authorIncarnation > known.authorIncarnation;
+function isNewer(view: DomainView, stored: DomainView): boolean {
+  if (view.authorId !== stored.authorId) return true;
+  if (view.authorIncarnation !== stored.authorIncarnation) {
+    return view.authorIncarnation > stored.authorIncarnation;
   }
-  return view.sequence > known.sequence;
+  return view.sequence > stored.sequence;
 }
 
-function noteSelfSeen(state: MembershipState, member: Member): boolean {
+function detectReplacement(state: MembershipState, member: Member): boolean {
   if (member.id !== state.self.id) return false;
   if (member.incarnation > state.self.incarnation) state.replaced = true;
   return true;
@@ -105,7 +108,7 @@
   state.ownSequence += 1;
   const alive = [...state.direct.values()].filter((peer) =>
     peer.member.failureDomain === state.self.failureDomain &&
-    judgePeer(state, peer, nowMs) === "alive"
+    assessPeer(state, peer, nowMs) === "alive"
   );
   const versions = alive.map((peer) => peer.throughVersion);
   return {
@@ -132,16 +135,16 @@
 ): ObservedMember[] {
   const observed = new Map<string, ObservedMember>();
   for (const { view, receivedMs } of state.views.values()) {
-    const fresh = nowMs - receivedMs < state.times.viewExpiryMs;
+    const isFresh = nowMs - receivedMs < state.timings.viewExpiryMs;
     for (const member of view.members) {
-      const liveness = fresh ? "alive" : "unreachable";
+      const liveness = isFresh ? "alive" : "unreachable";
       observed.set(member.id, { member, liveness });
     }
   }
   for (const peer of state.direct.values()) {
     observed.set(peer.member.id, {
       member: peer.member,
-      liveness: judgePeer(state, peer, nowMs),
+      liveness: assessPeer(state, peer, nowMs),
     });
   }
   observed.set(state.self.id, { member: state.self, liveness: "alive" });
@@ -167,13 +170,13 @@
     .map(({ member }) => member);
 }
 
-function judgePeer(
+function assessPeer(
   state: MembershipState,
   peer: DirectPeer,
   nowMs: number,
 ): Liveness {
-  const silenceMs = nowMs - peer.lastHeardMs;
-  if (silenceMs >= state.times.deadAfterMs) return "dead";
-  if (silenceMs >= state.times.suspectAfterMs) return "suspect";
-  return peer.connected ? "alive" : "suspect";
+  const silenceMs = nowMs - peer.lastHeartbeatMs;
+  if (silenceMs >= state.timings.deadAfterMs) return "dead";
+  if (silenceMs >= state.timings.suspectAfterMs) return "suspect";
+  return peer.isConnected ? "alive" : "suspect";
 }
--- a/src/membership/logic_test.ts
+++ b/src/membership/logic_test.ts
@@ -3,10 +3,10 @@
 import {
   listServing,
   makeOwnView,
-  noteHeartbeat,
-  noteLinkClosed,
-  noteView,
   observeMembers,
+  recordHeartbeat,
+  recordLinkClosed,
+  recordView,
 } from "./logic.ts";
 import { createMembershipState, type MembershipState } from "./state.ts";
 import type { DomainView, Member, MemberState, Role } from "./types.ts";
@@ -43,11 +43,15 @@
 
 const entry = makeMember("vm2/entry");
 
-function hear(state: MembershipState, member: Member, nowMs: number): void {
-  noteHeartbeat(state, { member, throughVersion: 3 }, nowMs);
+function receiveHeartbeat(
+  state: MembershipState,
+  member: Member,
+  nowMs: number,
+): void {
+  recordHeartbeat(state, { member, throughVersion: 3 }, nowMs);
 }
 
-function livenessOf(state: MembershipState, id: string, nowMs: number) {
+function getLiveness(state: MembershipState, id: string, nowMs: number) {
   return observeMembers(state, nowMs)
     .find(({ member }) => member.id === id)?.liveness;
 }
@@ -63,69 +67,69 @@
 for (const [silenceMs, expected] of silences) {
   test(`after ${silenceMs} ms of silence a peer looks ${expected}`, () => {
     const state = createMembershipState(makeMember("vm1/steer"));
-    hear(state, entry, 0);
-    assert.is(livenessOf(state, entry.id, silenceMs), expected);
+    receiveHeartbeat(state, entry, 0);
+    assert.is(getLiveness(state, entry.id, silenceMs), expected);
   });
 }
 
 test("a broken link makes a peer suspect at once, a heartbeat alive", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
-  hear(state, entry, 0);
-  noteLinkClosed(state, entry.id);
-  assert.is(livenessOf(state, entry.id, 1), "suspect");
-  hear(state, entry, 2);
-  assert.is(livenessOf(state, entry.id, 3), "alive");
+  receiveHeartbeat(state, entry, 0);
+  recordLinkClosed(state, entry.id);
+  assert.is(getLiveness(state, entry.id, 1), "suspect");
+  receiveHeartbeat(state, entry, 2);
+  assert.is(getLiveness(state, entry.id, 3), "alive");
 });
 
 test("an old incarnation does not overwrite a newer one", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
-  hear(state, { ...entry, incarnation: 2 }, 0);
-  hear(state, { ...entry, incarnation: 1, state: "leaving" }, 1);
+  receiveHeartbeat(state, { ...entry, incarnation: 2 }, 0);
+  receiveHeartbeat(state, { ...entry, incarnation: 1, state: "leaving" }, 1);
   assert.is(listServing(state, "entry", 2)[0].incarnation, 2);
 });
 
 test("a process that wakes learns that it was replaced", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
-  noteView(state, makeView(1, [makeMember("vm1/steer", "a-1")]), 0);
+  recordView(state, makeView(1, [makeMember("vm1/steer", "a-1")]), 0);
   assert.is(state.replaced, false);
   const newer = makeMember("vm1/steer", "a-1", { incarnation: 2 });
-  noteView(state, makeView(2, [newer]), 0);
+  recordView(state, makeView(2, [newer]), 0);
   assert.is(state.replaced, true);
 });
 
 test("another domain's members are unreachable once its views are old", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
   const far = makeMember("vm8/entry", "b-1");
-  noteView(state, makeView(1, [far]), 0);
-  assert.is(livenessOf(state, far.id, 2_900), "alive");
-  assert.is(livenessOf(state, far.id, 3_000), "unreachable");
-  noteView(state, makeView(2, [far]), 4_000);
-  assert.is(livenessOf(state, far.id, 4_001), "alive");
+  recordView(state, makeView(1, [far]), 0);
+  assert.is(getLiveness(state, far.id, 2_900), "alive");
+  assert.is(getLiveness(state, far.id, 3_000), "unreachable");
+  recordView(state, makeView(2, [far]), 4_000);
+  assert.is(getLiveness(state, far.id, 4_001), "alive");
 });
 
 test("views come late or twice without harm", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
   const far = makeMember("vm8/entry", "b-1");
-  assert.is(noteView(state, makeView(5, [far]), 0), true);
-  assert.is(noteView(state, makeView(5, [far]), 0), false);
-  assert.is(noteView(state, makeView(4, []), 0), false);
-  assert.is(livenessOf(state, far.id, 1), "alive");
+  assert.is(recordView(state, makeView(5, [far]), 0), true);
+  assert.is(recordView(state, makeView(5, [far]), 0), false);
+  assert.is(recordView(state, makeView(4, []), 0), false);
+  assert.is(getLiveness(state, far.id, 1), "alive");
 });
 
-for (const own of ["serving", "leaving"] as MemberState[]) {
-  test(`an entry that is ${own} is ${own === "serving" ? "" : "not "}named`, () => {
+for (const ownState of ["serving", "leaving"] as MemberState[]) {
+  test(`an entry that is ${ownState} is ${ownState === "serving" ? "" : "not "}named`, () => {
     const state = createMembershipState(makeMember("vm1/steer"));
-    hear(state, { ...entry, state: own }, 0);
+    receiveHeartbeat(state, { ...entry, state: ownState }, 0);
     const ids = listServing(state, "entry", 1).map(({ id }) => id);
-    assert.equal(ids, own === "serving" ? [entry.id] : []);
+    assert.equal(ids, ownState === "serving" ? [entry.id] : []);
   });
 }
 
 test("a view holds only members that look alive, and their versions", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
-  hear(state, entry, 0);
-  hear(state, makeMember("vm3/entry"), 0);
-  noteLinkClosed(state, "vm3/entry");
+  receiveHeartbeat(state, entry, 0);
+  receiveHeartbeat(state, makeMember("vm3/entry"), 0);
+  recordLinkClosed(state, "vm3/entry");
   const view = makeOwnView(state, 5, 1);
   assert.equal(view.members.map(({ id }) => id), ["vm1/steer", entry.id]);
   assert.is(view.lowestVersion, 3);
--- a/src/membership/state.ts
+++ b/src/membership/state.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
-  DEFAULT_DETECTION_TIMES,
-  type DetectionTimes,
+  DEFAULT_DETECTION_TIMINGS,
+  type DetectionTimings,
   type DomainView,
   type Member,
 } from "./types.ts";
@@ -13,9 +13,9 @@
 /** A member of the own failure domain, heard over a direct link. */
 export interface DirectPeer {
   member: Member;
-  lastHeardMs: number;
+  lastHeartbeatMs: number;
   /** False from the moment its connection broke until it is heard again. */
-  connected: boolean;
+  isConnected: boolean;
   /** Version that it has in force. */
   throughVersion: number;
 }
@@ -29,7 +29,7 @@
 /** All that a process knows of the others. */
 export interface MembershipState {
   self: Member;
-  times: DetectionTimes;
+  timings: DetectionTimings;
   /** By member id. */
   direct: Map<string, DirectPeer>;
   /** Newest view of each failure domain. */
@@ -42,16 +42,16 @@
 
 /**
  * @param self This process.
- * @param times Times of failure detection.
+ * @param timings Times of failure detection.
  * @returns Knowledge of a process that has heard nobody yet.
  */
 export function createMembershipState(
   self: Member,
-  times: DetectionTimes = DEFAULT_DETECTION_TIMES,
+  timings: DetectionTimings = DEFAULT_DETECTION_TIMINGS,
 ): MembershipState {
   return {
     self,
-    times,
+    timings,
     direct: new Map(),
     views: new Map(),
     ownSequence: 0,
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -57,7 +57,7 @@
 }
 
 /** Times of failure detection, in ms. */
-export interface DetectionTimes {
+export interface DetectionTimings {
   heartbeatPeriodMs: number;
   suspectAfterMs: number;
   deadAfterMs: number;
@@ -66,7 +66,7 @@
 }
 
 /** Defaults that hold a loopback fleet and 35 ms links alike. */
-export const DEFAULT_DETECTION_TIMES: DetectionTimes = {
+export const DEFAULT_DETECTION_TIMINGS: DetectionTimings = {
   heartbeatPeriodMs: 500,
   suspectAfterMs: 1_500,
   deadAfterMs: 3_000,
--- a/src/operator/documents.ts
+++ b/src/operator/documents.ts
@@ -163,7 +163,9 @@
   const key = getDocumentKey(name);
   const editedFrom = from ?? unwrap(await store.read(key)).rowVersion;
   const { text } = source;
-  const put = unwrap(await store.put({ key, text, author, editedFrom }));
+  const put = unwrap(
+    await store.put({ key, text, author, baseRowVersion: editedFrom }),
+  );
   return describePut(put, {
     name,
     text,
--- a/src/steer/steer.ts
+++ b/src/steer/steer.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { startFrame } from "../daemon/frame.ts";
+import { startDaemonCore } from "../daemon/daemon_core.ts";
 import { addLookupRoutes } from "../lookup/routes.ts";
 import { createPlatformClient } from "../platform/http_client.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -14,7 +14,7 @@
 import { startPlanner } from "../steering/planner.ts";
 
 /** Time in which callers and other steers learn that this one leaves. */
-const LEAVE_MS = 500;
+const LEAVE_NOTICE_MS = 500;
 
 /**
  * Starts a steer.
@@ -28,21 +28,21 @@
   clock: Clock,
 ): Promise<Daemon> {
   const platform = createPlatformClient(settings.platformUrl);
-  const frame = await startFrame({
+  const core = await startDaemonCore({
     role: "steer",
     settings,
     clock,
     platform,
     peerRouter: createRouter(),
   });
-  const { agent, steering, metrics } = frame;
+  const { agent, steering, metrics } = core;
   const planner = startPlanner({ agent, platform, clock, metrics });
-  await frame.openOperator(() => ({ planner: planner.dump() }));
+  await core.startOperatorServer(() => ({ planner: planner.dump() }));
   const router = createRouter();
   addLookupRoutes(router, { agent, steering, clock, metrics });
-  await frame.openCallers(router);
-  return frame.makeDaemon({
-    leaveMs: () => LEAVE_MS,
+  await core.startCallerServer(router);
+  return core.makeDaemon({
+    getNoticeMs: () => LEAVE_NOTICE_MS,
     async close() {
       planner.close();
       await platform.close();
--- a/src/steering/planner.ts
+++ b/src/steering/planner.ts
@@ -6,7 +6,7 @@
  */
 import PQueue from "p-queue";
 import type { ControlAgent } from "../control/types.ts";
-import { SNAPSHOT_NAME } from "../control/feed.ts";
+import { SNAPSHOT_NAME } from "../control/change_feed.ts";
 import { countBlocks } from "../lookup/blocks.ts";
 import type { Platform, RowPut } from "../platform/types.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -176,7 +176,7 @@
     written: { writeId: string; version: number },
   ): void {
     const throughVersion = agent.throughVersion();
-    agent.applyOwnWrite({
+    agent.applyCommittedWrite({
       afterVersion: throughVersion,
       throughVersion,
       rows: puts.map((put) => ({ ...put, ...written })),
