--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -117,19 +117,23 @@
   document: ServiceDocument,
   fleet: FleetDocument,
 ): Finding[] {
-  const regions = fleet.regions.map(({ name }) => name);
-  const domains = fleet.regions.flatMap(({ failureDomains }) => failureDomains);
+  const regionNames = fleet.regions.map(({ name }) => name);
+  const domainNames = fleet.regions.flatMap(({ failureDomains }) =>
+    failureDomains
+  );
   const unknownRegions = document.regions.flatMap((name, index) =>
-    regions.includes(name) ? [] : [{
+    regionNames.includes(name) ? [] : [{
       path: ["regions", index],
-      problem: `No region is named "${name}"; allowed: ${regions.join(", ")}`,
+      problem: `No region is named "${name}"; allowed: ${
+        regionNames.join(", ")
+      }`,
     }]
   );
   const unknownDomains = document.backendServers.flatMap((server, index) =>
-    domains.includes(server.failureDomain) ? [] : [{
+    domainNames.includes(server.failureDomain) ? [] : [{
       path: ["backendServers", index, "failureDomain"],
       problem: `No failure domain is named "${server.failureDomain}"; ` +
-        `allowed: ${domains.join(", ")}`,
+        `allowed: ${domainNames.join(", ")}`,
     }]
   );
   return [...unknownRegions, ...unknownDomains];
@@ -182,35 +186,37 @@
 }
 
 function findUnknownFleetNames(document: FleetDocument): Finding[] {
-  const regions = document.regions.map(({ name }) => name);
-  const domains = document.regions.flatMap((region) => region.failureDomains);
+  const regionNames = document.regions.map(({ name }) => name);
+  const domainNames = document.regions.flatMap((region) =>
+    region.failureDomains
+  );
   const findings: Finding[] = [];
   document.entryVms.forEach((vm, index) => {
-    if (domains.includes(vm.failureDomain)) return;
+    if (domainNames.includes(vm.failureDomain)) return;
     findings.push({
       path: ["entryVms", index, "failureDomain"],
       problem: `No failure domain is named "${vm.failureDomain}"; allowed: ${
-        domains.join(", ")
+        domainNames.join(", ")
       }`,
     });
   });
   document.links.forEach((link, index) => {
     for (const end of ["from", "to"] as const) {
-      if (regions.includes(link[end])) continue;
+      if (regionNames.includes(link[end])) continue;
       findings.push({
         path: ["links", index, end],
         problem: `No region is named "${link[end]}"; allowed: ${
-          regions.join(", ")
+          regionNames.join(", ")
         }`,
       });
     }
   });
   document.clientBlocks.forEach((block, index) => {
-    if (regions.includes(block.region)) return;
+    if (regionNames.includes(block.region)) return;
     findings.push({
       path: ["clientBlocks", index, "region"],
       problem: `No region is named "${block.region}"; allowed: ${
-        regions.join(", ")
+        regionNames.join(", ")
       }`,
     });
   });
--- a/src/control/agent.ts
+++ b/src/control/agent.ts
@@ -1,6 +1,6 @@
 /**
- * The control side of every process: links to peers, membership, the replica
- * of the table's rows and the configuration in force.
+ * The control plane of a process: links to peers, membership, the replica of
+ * the platform table's rows and the configuration in force.
  *
  * @module
  */
@@ -42,21 +42,31 @@
 
 const log = createLogger("control");
 
-/** Views go out, and other failure domains hear a heartbeat, each second tick. */
-const SLOW_EVERY_TICKS = 2;
-/** Time given to the table and to peers before the snapshot is taken. */
-const SNAPSHOT_AFTER_MS = 2_000;
-/** Time for which a judgement of all members is kept, in ms. */
-const SERVING_KEPT_MS = 20;
-/** Time between two reads of the list of VMs. */
+/**
+ * Heartbeat ticks between two views, and between two heartbeats to other
+ * failure domains.
+ */
+const SLOW_TICK_INTERVAL = 2;
+/**
+ * Time, in ms, that the table and the peers have to deliver the fleet document
+ * before the stored snapshot is loaded.
+ */
+const SNAPSHOT_FALLBACK_DELAY_MS = 2_000;
+/** Time for which a list of serving members is cached, in ms. */
+const SERVING_TTL_MS = 20;
+/** Interval between two reads of the platform's list of VMs, in ms. */
 const VM_LIST_PERIOD_MS = 1_000;
-/** Time in which peers may still show newer rows before serving starts. */
-const LEARN_MS = 1_000;
+/**
+ * Time after start, in ms, in which peers may still announce a newer version.
+ * Without the table, a process isn't ready before it has passed.
+ */
+const VERSION_DISCOVERY_MS = 1_000;
 
 /**
- * Starts the control side of a process.
+ * Starts the control plane of a process: accepts and dials links, and starts
+ * the periodic heartbeats. On a steer it also reads the table.
  *
- * @param options See there.
+ * @param options The process's identity and the services that it uses.
  * @returns The running agent.
  */
 export function startAgent(options: AgentOptions): ControlAgent {
@@ -67,9 +77,9 @@
   const loads: LoadState = new Map();
   const links = createLinkTable(self.failureDomain);
   const listeners: ((rows: Row[]) => void)[] = [];
-  const servingKept = new Map<Role, { atMs: number; members: Member[] }>();
+  const servingCache = new Map<Role, { atMs: number; members: Member[] }>();
   const startedMs = clock.monotonicMs();
-  let highestHeard = 0;
+  let highestPeerVersion = 0;
   let ticks = 0;
   let closed = false;
   let markReady: () => void = () => {};
@@ -96,7 +106,7 @@
     events: linkEvents,
   });
 
-  /** The first relay that looks alive passes news on. */
+  /** @returns Whether this steer is its failure domain's first live relay. */
   function isRelay(): boolean {
     const fleet = config.fleet?.document;
     if (fleet === undefined || self.role !== "steer") return false;
@@ -106,7 +116,7 @@
     return first?.id === self.vmId;
   }
 
-  const news = createServerStatusExchange({ self, links });
+  const serverStatus = createServerStatusExchange({ self, links });
   const views = createViewExchange({ links, membership, clock, isRelay });
   const loadExchange = createLoadExchange({
     self,
@@ -144,9 +154,9 @@
       case "changes":
         return receiveChanges(message.changes);
       case "vms":
-        return news.receiveLeaving(message.leaving);
+        return serverStatus.receiveLeaving(message.leaving);
       case "health":
-        return news.receiveHealth(link, message.reports);
+        return serverStatus.receiveHealth(link, message.reports);
     }
   }
 
@@ -165,14 +175,14 @@
     const state = links.get(link);
     if (state?.member === undefined) return;
     const { member } = state;
-    const isStuck = state.throughVersion === throughVersion;
+    const isUnchanged = state.throughVersion === throughVersion;
     state.throughVersion = throughVersion;
-    highestHeard = Math.max(highestHeard, throughVersion);
+    highestPeerVersion = Math.max(highestPeerVersion, throughVersion);
     if (member.failureDomain === self.failureDomain) {
       const nowMs = clock.monotonicMs();
       recordHeartbeat(membership, { member, throughVersion }, nowMs);
       sendMissing(link);
-    } else if (isStuck) sendMissing(link);
+    } else if (isUnchanged) sendMissing(link);
     checkReady();
   }
 
@@ -191,31 +201,33 @@
   function receiveChanges(changes: ChangeSet): void {
     const applied = applyChanges(replica, changes);
     if (applied.outcome === "gap") {
-      log.debug("Changes start after a gap", { step: "replica.apply" });
+      log.debug("Ignored changes that start after a version gap", {
+        step: "replica.apply",
+      });
       return;
     }
-    bringIntoForce(applied.changed);
-    // Other failure domains read the table too: they are sent rows only once
-    // two of their heartbeats show the same version.
+    applyChangedRows(applied.changed);
+    // Other failure domains read the table themselves. They are sent rows only
+    // when two of their heartbeats in a row show the same version.
     for (const [link] of links.listOwnDomain()) sendMissing(link);
     checkReady();
   }
 
-  function bringIntoForce(rows: Row[]): void {
+  function applyChangedRows(rows: Row[]): void {
     if (rows.length === 0) return;
     const changedConfig = rows.map((row) => applyConfigRow(config, row));
-    if (changedConfig.includes(true)) dialPeers();
+    if (changedConfig.includes(true)) updatePeerLinks();
     for (const listener of listeners) listener(rows);
   }
 
-  function dialPeers(): void {
+  function updatePeerLinks(): void {
     const fleet = config.fleet?.document;
     dialer.setTargets(fleet ? listPeerAddresses(fleet, self) : seeds);
   }
 
   function tick(): void {
     ticks += 1;
-    const isSlowTick = ticks % SLOW_EVERY_TICKS === 0;
+    const isSlowTick = ticks % SLOW_TICK_INTERVAL === 0;
     const { throughVersion } = replica;
     const heartbeat = { kind: "heartbeat" as const, throughVersion };
     links.sendToOwnDomain(heartbeat);
@@ -229,13 +241,17 @@
 
   function checkReady(): void {
     if (config.fleet === undefined) return;
-    const learning = clock.monotonicMs() - startedMs < LEARN_MS;
-    const readTable = feed?.lastReadMs() !== undefined;
-    const caughtUp = replica.throughVersion >= highestHeard;
-    if (readTable || (!learning && caughtUp)) markReady();
+    const isDiscovering =
+      clock.monotonicMs() - startedMs < VERSION_DISCOVERY_MS;
+    const hasReadTable = feed?.lastReadMs() !== undefined;
+    const isCaughtUp = replica.throughVersion >= highestPeerVersion;
+    if (hasReadTable || (!isDiscovering && isCaughtUp)) markReady();
   }
 
-  /** Place of this steer among its domain's readers; -1 for an entry. */
+  /**
+   * @returns Rank of this steer among the readers of its failure domain, from
+   * 0; -1 for an entry and for a steer that isn't serving.
+   */
   function getReaderRank(): number {
     const steers = serving("steer")
       .filter((member) => member.failureDomain === self.failureDomain)
@@ -247,13 +263,13 @@
     return getReaderRank() === 0;
   }
 
-  /** Asked for with each request, so judged anew only after a moment. */
+  /** Cached for `SERVING_TTL_MS`, because every request calls it. */
   function serving(role: Role): Member[] {
     const nowMs = clock.monotonicMs();
-    const kept = servingKept.get(role);
-    if (kept && nowMs - kept.atMs < SERVING_KEPT_MS) return kept.members;
+    const cached = servingCache.get(role);
+    if (cached && nowMs - cached.atMs < SERVING_TTL_MS) return cached.members;
     const members = listServing(membership, role, nowMs);
-    servingKept.set(role, { atMs: nowMs, members });
+    servingCache.set(role, { atMs: nowMs, members });
     return members;
   }
 
@@ -261,7 +277,9 @@
     if (closed || platform === undefined || config.fleet) return;
     const snapshot = await readSnapshot(platform.objects);
     if (snapshot === undefined || closed) return;
-    log.warn("Started from the snapshot", { step: "replica.snapshot" });
+    log.warn("Loaded the replica from the stored snapshot", {
+      step: "replica.snapshot",
+    });
     receiveChanges(snapshot);
   }
 
@@ -277,12 +295,12 @@
     schema: peerMessageSchema,
     events: linkEvents,
   });
-  dialPeers();
+  updatePeerLinks();
   const timers: Timer[] = [
     clock.every(membership.timings.heartbeatPeriodMs, tick),
-    clock.after(SNAPSHOT_AFTER_MS, () => void takeSnapshot()),
+    clock.after(SNAPSHOT_FALLBACK_DELAY_MS, () => void takeSnapshot()),
     clock.every(VM_LIST_PERIOD_MS, () => {
-      if (platform && isOwnReader()) void news.readVmList(platform.vms);
+      if (platform && isOwnReader()) void serverStatus.readVmList(platform.vms);
     }),
   ];
 
@@ -296,9 +314,9 @@
     views: () => [...membership.views.values()].map(({ view }) => view),
     loads: () => loads,
     reportLoad: loadExchange.report,
-    reportHealth: news.reportHealth,
-    onHealth: news.onHealth,
-    leavingVms: news.leaving,
+    reportHealth: serverStatus.reportHealth,
+    onHealth: serverStatus.onHealth,
+    leavingVms: serverStatus.leaving,
     leave() {
       membership.self = { ...self, state: "leaving" };
       for (const [link] of links.all()) link.send(makeHello());
--- a/src/control/change_feed.ts
+++ b/src/control/change_feed.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the table's changes. In each failure domain only a few steers read;
- * rendezvous hashing on membership decides which, and one more does no harm.
+ * Polls the table for changes. Only a few steers of each failure domain read;
+ * each steer selects them by rendezvous hashing over the members that it sees.
+ * Where views differ, an additional steer may read, which is harmless.
  *
  * @module
  */
@@ -14,51 +15,56 @@
 
 const log = createLogger("control");
 
-/** Readers of a failure domain: the first, and a slower one behind it. */
+/** Readers per failure domain: a primary and a slower standby. */
 export const READERS_PER_DOMAIN = 2;
-/** Time between two reads of the first reader. */
+/** Interval between two reads of the primary reader, in ms. */
 export const READ_PERIOD_MS = 250;
-/** Time between two reads of the one behind it. */
+/** Interval between two reads of the standby reader, in ms. */
 export const STANDBY_READ_PERIOD_MS = 1_000;
-/** Name of the object that holds the last known rows. */
+/** Name of the stored object that holds a snapshot of the replica. */
 export const SNAPSHOT_NAME = "replica/snapshot";
 
 /**
- * @param steerIds Ids of the steers of a failure domain that look alive.
- * @returns Them, the first to read first.
+ * Ranks the steers of a failure domain as readers of the table.
+ *
+ * @param steerIds Member ids of the domain's live steers.
+ * @returns The ids, primary reader first.
  */
 export function rankReaders(steerIds: readonly string[]): string[] {
   const candidates = steerIds.map((id) => ({ id, weight: 1 }));
   return rankByRendezvous("feed", candidates).map(({ id }) => id);
 }
 
-/** What the feed needs to know. */
+/** Dependencies of the change feed. */
 export interface ChangeFeedOptions {
   platform: Platform;
   clock: Clock;
-  /** Place of this process among the readers, from 0; -1 for none. */
+  /** @returns Rank of this process among the readers, from 0; -1 for none. */
   rank(): number;
-  /** Version that this process has. */
+  /** @returns Version up to which this process's replica is complete. */
   throughVersion(): number;
+  /** Called with each change set read from the table. */
   onChanges(changes: ChangeSet): void;
 }
 
-/** A running feed. */
+/** A running change feed. */
 export interface ChangeFeed {
-  /** When the table last answered, in monotonic ms; undefined if never. */
+  /** @returns Monotonic time of the last successful read, in ms, if any. */
   lastReadMs(): number | undefined;
+  /** Stops polling; a read in progress still completes. */
   close(): void;
 }
 
 /**
- * Starts reading.
+ * Starts polling the table. Reads don't overlap: a tick is skipped while one
+ * is in progress.
  *
- * @param options See there.
+ * @param options Dependencies.
  * @returns The running feed.
  */
 export function startChangeFeed(options: ChangeFeedOptions): ChangeFeed {
   const { platform, clock, rank, throughVersion, onChanges } = options;
-  const reads = new PQueue({ concurrency: 1 });
+  const readQueue = new PQueue({ concurrency: 1 });
   const startedMs = clock.monotonicMs();
   let lastReadMs: number | undefined;
 
@@ -76,12 +82,12 @@
   }
 
   function tick(): void {
-    if (reads.size + reads.pending > 0) return;
-    const place = rank();
-    if (place < 0 || place >= READERS_PER_DOMAIN) return;
-    const sinceMs = clock.monotonicMs() - startedMs;
-    const isSecondDue = sinceMs % STANDBY_READ_PERIOD_MS < READ_PERIOD_MS;
-    if (place === 0 || isSecondDue) void reads.add(read);
+    if (readQueue.size + readQueue.pending > 0) return;
+    const readerRank = rank();
+    if (readerRank < 0 || readerRank >= READERS_PER_DOMAIN) return;
+    const elapsedMs = clock.monotonicMs() - startedMs;
+    const isStandbyDue = elapsedMs % STANDBY_READ_PERIOD_MS < READ_PERIOD_MS;
+    if (readerRank === 0 || isStandbyDue) void readQueue.add(read);
   }
 
   tick();
@@ -90,16 +96,17 @@
     lastReadMs: () => lastReadMs,
     close() {
       timer.cancel();
-      reads.clear();
+      readQueue.clear();
     },
   };
 }
 
 /**
- * Reads the last known rows when the table is down at start.
+ * Reads the stored snapshot of the replica, for a start without the table.
  *
  * @param objects The object store.
- * @returns The rows, or undefined where there are none.
+ * @returns The rows; undefined where there is no snapshot or the read failed.
+ * @throws {SyntaxError} If the stored object is not JSON.
  */
 export async function readSnapshot(
   objects: ObjectStore,
--- a/src/control/dialer.ts
+++ b/src/control/dialer.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps links to just those peers that are wanted.
+ * Maintains outgoing links to a changing set of peer addresses.
  *
  * @module
  */
@@ -10,42 +10,51 @@
 } from "../runtime/peer_link.ts";
 import type { PeerMessage } from "./messages.ts";
 
-/** What the dialer needs. */
+/** Dependencies of a dialer. */
 export interface DialerOptions extends DialOptions<PeerMessage> {
-  /** Gives the address to dial for a peer's address. */
+  /**
+   * @param address A peer's address, `host:port`.
+   * @returns The address to dial for it.
+   */
   translate(address: string): string;
 }
 
-/** Keeps links. */
+/** Maintains one link to each of its target addresses. */
 export interface Dialer {
-  /** Dials new addresses, closes links to those no longer wanted. */
+  /**
+   * Replaces the targets: dials new addresses and closes links to addresses
+   * that are no longer among them.
+   *
+   * @param addresses Peer addresses, before translation.
+   */
   setTargets(addresses: Iterable<string>): void;
+  /** Closes all links. */
   close(): void;
 }
 
 /**
- * @param options See there.
- * @returns A dialer without links.
+ * @param options Dependencies.
+ * @returns A dialer without targets.
  */
 export function createDialer(options: DialerOptions): Dialer {
   const { translate } = options;
-  const dialed = new Map<string, DialedLink>();
+  const linkByAddress = new Map<string, DialedLink>();
   return {
     setTargets(addresses) {
-      const wanted = new Set(addresses);
-      for (const [address, link] of dialed) {
-        if (wanted.has(address)) continue;
+      const targets = new Set(addresses);
+      for (const [address, link] of linkByAddress) {
+        if (targets.has(address)) continue;
         link.close();
-        dialed.delete(address);
+        linkByAddress.delete(address);
       }
-      for (const address of wanted) {
-        if (dialed.has(address)) continue;
-        dialed.set(address, keepLink(translate(address), options));
+      for (const address of targets) {
+        if (linkByAddress.has(address)) continue;
+        linkByAddress.set(address, keepLink(translate(address), options));
       }
     },
     close() {
-      for (const link of dialed.values()) link.close();
-      dialed.clear();
+      for (const link of linkByAddress.values()) link.close();
+      linkByAddress.clear();
     },
   };
 }
--- a/src/control/link_table.ts
+++ b/src/control/link_table.ts
@@ -1,5 +1,5 @@
 /**
- * The open links of a process and what each side of them knows.
+ * The open links of a process, with the state kept for each.
  *
  * @module
  */
@@ -7,41 +7,56 @@
 import type { PeerMessage } from "./messages.ts";
 import type { PeerLink } from "./links.ts";
 
-/** What is known of a link. */
+/** State of one open link. */
 export interface LinkState {
-  /** Who is at the other side; unknown until its first message. */
+  /** The peer; undefined until its `hello` has arrived. */
   member: Member | undefined;
-  /** Version that it has in force. */
+  /** Version that the peer announced, or that was last sent to it. */
   throughVersion: number;
-  /** Text of the members last sent for each failure domain. */
+  /** Members last sent, as JSON, by failure domain. */
   sentMembers: Map<string, string>;
-  /** Members last received for each failure domain. */
+  /** Members last received, by failure domain. */
   receivedMembers: Map<string, Member[]>;
 }
 
-/** Which links are meant. */
+/** Selects some of the links. */
 export interface LinkFilter {
+  /** Role of the peer; absent: any. */
   role?: Role;
-  /** Left out. */
+  /** A link to exclude. */
   except?: PeerLink;
 }
 
 /** The open links of a process. */
 export interface LinkTable {
+  /**
+   * Adds a link.
+   *
+   * @returns Its initial state.
+   */
   open(link: PeerLink): LinkState;
+  /** Removes a link; the caller closes the connection. */
   close(link: PeerLink): void;
+  /** @returns State of a link, or undefined where it isn't open. */
   get(link: PeerLink): LinkState | undefined;
+  /** @returns All links, also those whose peer is not known yet. */
   all(): Iterable<[PeerLink, LinkState]>;
-  /** @returns Links to members of the own failure domain. */
+  /** @returns Links to members of this process's failure domain. */
   listOwnDomain(filter?: LinkFilter): [PeerLink, LinkState][];
+  /** Sends to the members of this process's failure domain. */
   sendToOwnDomain(message: PeerMessage, filter?: LinkFilter): void;
-  /** Sends to other failure domains, or to one of them. */
+  /**
+   * Sends to members of other failure domains.
+   *
+   * @param message The message.
+   * @param toDomain The only failure domain to send to; absent: all others.
+   */
   sendToOtherDomains(message: PeerMessage, toDomain?: string): void;
 }
 
 /**
- * @param failureDomain The own failure domain.
- * @returns A table without links.
+ * @param failureDomain Failure domain of this process.
+ * @returns An empty table.
  */
 export function createLinkTable(failureDomain: string): LinkTable {
   const links = new Map<PeerLink, LinkState>();
--- a/src/control/load_exchange.ts
+++ b/src/control/load_exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Entries' figures on links: rounded, sent when they changed or grew old, and
- * passed on by one steer of a failure domain, only to where plans are made.
+ * Exchanges the load reports of entries. A report is quantised and sent when it
+ * has changed or needs a refresh. One steer of each failure domain relays the
+ * reports to the failure domain of the planner.
  *
  * @module
  */
@@ -16,61 +17,66 @@
 import type { LinkTable } from "./link_table.ts";
 import type { PeerLink } from "./links.ts";
 
-/** Figures leave the failure domain at most this often. */
-const ELSEWHERE_PERIOD_MS = 1_000;
+/** Minimum time between two reports of an entry to other domains, in ms. */
+const REMOTE_SEND_PERIOD_MS = 1_000;
 
-/** The steer that plans. */
+/** Identity and location of the steer that plans. */
 export interface PlannerLocation {
   /** Member id. */
   id: string;
   failureDomain: string;
 }
 
-/** What the exchange needs. */
+/** Dependencies of the exchange. */
 export interface LoadExchangeOptions {
   self: Member;
   links: LinkTable;
+  /** Latest load of each entry; updated by the exchange. */
   loads: LoadState;
   clock: Clock;
-  /** Whether this steer passes others' figures on. */
+  /** @returns Whether this process relays the reports of others. */
   isRelay(): boolean;
-  /** The steer that plans, if known. */
+  /** @returns The steer that plans, if known. */
   planner(): PlannerLocation | undefined;
 }
 
-/** Sends and receives figures. */
+/** Sends, receives and relays load reports. */
 export interface LoadExchange {
-  /** Sends this entry's own figures to the steers. */
+  /**
+   * Sends this entry's load to the steers of its failure domain, unless it
+   * equals the last one sent and needs no refresh yet.
+   */
   report(load: EntryLoad): void;
+  /** Records loads that arrived on a link, and relays them where due. */
   receive(link: PeerLink, received: readonly EntryLoad[]): void;
 }
 
 /**
- * @param options See there.
+ * @param options Dependencies.
  * @returns The exchange.
  */
 export function createLoadExchange(
   options: LoadExchangeOptions,
 ): LoadExchange {
   const { self, links, loads, clock, isRelay, planner } = options;
-  const sentElsewhereMs = new Map<string, number>();
+  const remoteSentMs = new Map<string, number>();
   let sentText = "";
   let sentMs = -Infinity;
 
   function receive(link: PeerLink, received: readonly EntryLoad[]): void {
     const nowMs = clock.monotonicMs();
     for (const load of received) noteLoad(loads, load, nowMs);
-    const from = links.get(link)?.member;
-    if (!from || self.role !== "steer" || !isRelay()) return;
-    if (from.failureDomain !== self.failureDomain) {
+    const sender = links.get(link)?.member;
+    if (!sender || self.role !== "steer" || !isRelay()) return;
+    if (sender.failureDomain !== self.failureDomain) {
       return sendToPlanner(received);
     }
-    if (from.role !== "entry") return;
-    // Entries need to know of each other only who has room.
-    const slim = received.map((load) => ({ ...load, services: [] }));
+    if (sender.role !== "entry") return;
+    // Of each other, entries need only the utilization, not the services.
+    const withoutServices = received.map((load) => ({ ...load, services: [] }));
     const filter = { role: "entry" as const, except: link };
-    links.sendToOwnDomain({ kind: "load", loads: slim }, filter);
-    const due = received.filter((load) => isDueElsewhere(load, nowMs));
+    links.sendToOwnDomain({ kind: "load", loads: withoutServices }, filter);
+    const due = received.filter((load) => claimRemoteSend(load, nowMs));
     const target = planner();
     if (due.length === 0 || target === undefined) return;
     links.sendToOtherDomains(
@@ -79,7 +85,7 @@
     );
   }
 
-  /** The last step of figures from another failure domain. */
+  /** Forwards loads from another failure domain to the planner in this one. */
   function sendToPlanner(received: readonly EntryLoad[]): void {
     const target = planner();
     for (const [link, { member }] of links.listOwnDomain({ role: "steer" })) {
@@ -88,17 +94,18 @@
     }
   }
 
-  function isDueElsewhere({ entryId }: EntryLoad, nowMs: number): boolean {
-    const lastMs = sentElsewhereMs.get(entryId) ?? -Infinity;
-    if (nowMs - lastMs < ELSEWHERE_PERIOD_MS) return false;
-    sentElsewhereMs.set(entryId, nowMs);
+  /** @returns Whether a load is due to be sent; if so, records it as sent. */
+  function claimRemoteSend({ entryId }: EntryLoad, nowMs: number): boolean {
+    const lastMs = remoteSentMs.get(entryId) ?? -Infinity;
+    if (nowMs - lastMs < REMOTE_SEND_PERIOD_MS) return false;
+    remoteSentMs.set(entryId, nowMs);
     return true;
   }
 
   return {
-    report(exact) {
+    report(measured) {
       const nowMs = clock.monotonicMs();
-      const load = quantiseLoad(exact);
+      const load = quantiseLoad(measured);
       noteLoad(loads, load, nowMs);
       const text = JSON.stringify(load);
       if (text === sentText && nowMs - sentMs < LOAD_REFRESH_MS) return;
--- a/src/control/messages.ts
+++ b/src/control/messages.ts
@@ -1,5 +1,6 @@
 /**
- * Messages between the system's own processes, and their check on arrival.
+ * Messages between steers and entries, with the schemas that validate them on
+ * arrival.
  *
  * @module
  */
@@ -20,7 +21,7 @@
   authorId: z.string().max(160),
   authorIncarnation: z.number(),
   sequence: z.number(),
-  /** Absent where they are those last sent for the domain on this link. */
+  /** Absent if they equal those last sent on this link for the domain. */
   members: z.array(memberSchema).max(4_096).optional(),
   lowestVersion: z.number(),
   behindCount: z.number(),
@@ -46,9 +47,9 @@
 const healthSchema = z.object({
   serverId: z.string().max(64),
   state: z.enum(["healthy", "draining", "failing"]),
-  /** Share of its slots in use, by its own word. */
+  /** Share of its slots in use, as the backend server reports it. */
   reportedUse: z.number(),
-  /** Age of the probe when it was sent on, in ms. */
+  /** Age of the probe when it was sent, in ms. */
   ageMs: z.number().min(0),
 });
 
@@ -59,7 +60,7 @@
   value: z.string(),
 });
 
-/** Schema of every message on a peer link. */
+/** Schema of the messages on a peer link. */
 export const peerMessageSchema = z.discriminatedUnion("kind", [
   /** First message on a link, and again when the sender's state changes. */
   z.object({
@@ -67,11 +68,14 @@
     member: memberSchema,
     throughVersion: z.number(),
   }),
-  /** Sent on every link each heartbeat period. */
+  /**
+   * Sent each heartbeat period to the own failure domain, and every second one
+   * to others.
+   */
   z.object({ kind: z.literal("heartbeat"), throughVersion: z.number() }),
   /** Views of failure domains, own and relayed. */
   z.object({ kind: z.literal("views"), views: z.array(viewSchema).max(512) }),
-  /** Figures of entries, own and relayed. */
+  /** Loads of entries, own and relayed. */
   z.object({ kind: z.literal("load"), loads: z.array(loadSchema).max(4_096) }),
   /** Backend servers and VMs that the platform says are leaving. */
   z.object({
@@ -83,7 +87,7 @@
     kind: z.literal("health"),
     reports: z.array(healthSchema).max(4_096),
   }),
-  /** Rows that the receiver's heartbeat showed to be missing. */
+  /** Rows newer than the version in the receiver's last heartbeat. */
   z.object({
     kind: z.literal("changes"),
     changes: z.object({
@@ -94,9 +98,9 @@
   }),
 ]);
 
-/** A view as it travels: members only where they changed. */
+/** A view as sent on a link: members only where they changed. */
 export type WireView = z.infer<typeof viewSchema>;
-/** What a probe of a backend server found. */
+/** Result of a probe of a backend server. */
 export type HealthReport = z.infer<typeof healthSchema>;
 /** A message on a peer link. */
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
--- a/src/control/messages_test.ts
+++ b/src/control/messages_test.ts
@@ -25,7 +25,7 @@
 const pack = (value: unknown) =>
   createControlCodec().encode(value as PeerMessage);
 
-test("messages survive the wire, and names of fields travel once", () => {
+test("messages survive a round trip, and field names are sent only once", () => {
   const sender = createControlCodec();
   const receiver = createControlCodec();
   const frames = [hello, hello, hello].map((message) =>
@@ -35,7 +35,7 @@
   assert.ok(frames[2].length < frames[0].length / 2);
 });
 
-const malformed: [string, unknown][] = [
+const malformedMessages: [string, unknown][] = [
   ["no object", 7],
   ["unknown kind", { kind: "gossip" }],
   ["missing member", { kind: "hello", throughVersion: 1 }],
@@ -49,17 +49,17 @@
   ],
 ];
 
-test("what the malformed ones are made from is well formed", () => {
+test("the message that the malformed ones derive from is valid", () => {
   assert.equal(decodeMessage(pack({ ...hello })), hello);
 });
 
-for (const [name, value] of malformed) {
-  test(`${name} is not a message`, () => {
+for (const [name, value] of malformedMessages) {
+  test(`malformed message is rejected: ${name}`, () => {
     assert.is(decodeMessage(pack(value)), undefined);
   });
 }
 
-test("any bytes decode to a message or to nothing", () => {
+test("arbitrary bytes decode to a message or to undefined", () => {
   let messages = 0;
   fc.assert(
     fc.property(
--- a/src/control/server_status.ts
+++ b/src/control/server_status.ts
@@ -1,6 +1,6 @@
 /**
- * News of backend servers and VMs inside a failure domain: probes that entries
- * share, and what the platform's list says is leaving.
+ * Exchanges the status of backend servers and VMs within a failure domain: probe
+ * results of entries, and the ids that the platform's VM list marks as leaving.
  *
  * @module
  */
@@ -10,28 +10,36 @@
 import type { HealthReport } from "./messages.ts";
 import type { PeerLink } from "./links.ts";
 
-/** What the exchange needs. */
+/** Dependencies of the exchange. */
 export interface ServerStatusOptions {
   self: Member;
   links: LinkTable;
 }
 
-/** Sends and receives news. */
+/** Sends and receives the status of backend servers and VMs. */
 export interface ServerStatusExchange {
-  /** Shares probes that this entry made. */
+  /** Shares the results of this entry's probes within its failure domain. */
   reportHealth(reports: HealthReport[]): void;
-  /** Called with probes that another entry made. */
+  /** Adds a listener for probe results of other entries. */
   onHealth(listener: (reports: HealthReport[]) => void): void;
+  /**
+   * Passes probe results from a link to the listeners; a steer also forwards
+   * them to the entries of its failure domain.
+   */
   receiveHealth(link: PeerLink, reports: HealthReport[]): void;
-  /** Reads the platform's list and tells the failure domain. */
+  /**
+   * Reads the platform's list of VMs, and sends the ids that are leaving to the
+   * failure domain if they changed. A failed read changes nothing.
+   */
   readVmList(list: VmList): Promise<void>;
+  /** Replaces the ids that are leaving by those that a reader sent. */
   receiveLeaving(ids: readonly string[]): void;
-  /** Ids of VMs and backend servers that are leaving. */
+  /** @returns Ids of VMs and backend servers that are leaving. */
   leaving(): ReadonlySet<string>;
 }
 
 /**
- * @param options See there.
+ * @param options Dependencies.
  * @returns The exchange.
  */
 export function createServerStatusExchange(
@@ -41,7 +49,7 @@
   let leaving: ReadonlySet<string> = new Set();
   return {
     reportHealth(reports) {
-      // One steer is enough: each of them passes it on to every entry.
+      // One steer is enough: it forwards the reports to all other entries.
       const [first] = links.listOwnDomain({ role: "steer" });
       first?.[0].send({ kind: "health", reports });
     },
--- a/src/control/topology.ts
+++ b/src/control/topology.ts
@@ -1,6 +1,6 @@
 /**
- * Which processes a process keeps links to: a mesh inside a failure domain, a
- * bounded number of steers in each other one.
+ * Selects the peers that a process links to: a mesh within a failure domain, and
+ * a bounded number of relays in each other one.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { rankByRendezvous } from "../runtime/hash.ts";
 
 /**
- * Steers of a failure domain that keep links to those of the others: one that
- * passes news on, and one that takes over from it.
+ * Relays per failure domain, which are the steers that link to other domains:
+ * an active one and a standby.
  */
 export const RELAYS_PER_DOMAIN = 2;
 
-/** Who asks. */
+/** Identity and location of the process whose links are selected. */
 export interface LocalProcess {
   vmId: string;
   role: Role;
@@ -22,19 +22,21 @@
 }
 
 /**
+ * Lists the peers that a process dials. Of each pair of processes only one dials.
+ *
  * @param fleet The fleet's document.
- * @param self Who asks.
- * @returns Peer addresses to dial.
+ * @param self The process.
+ * @returns Peer addresses, `host:port`.
  */
 export function listPeerAddresses(
   fleet: FleetDocument,
   self: LocalProcess,
 ): string[] {
-  const own = fleet.entryVms.filter((vm) =>
+  const ownDomainVms = fleet.entryVms.filter((vm) =>
     vm.failureDomain === self.failureDomain
   );
-  if (self.role === "entry") return own.map((vm) => vm.steer.peer);
-  const mesh = own.filter((vm) => vm.id > self.vmId);
+  if (self.role === "entry") return ownDomainVms.map((vm) => vm.steer.peer);
+  const mesh = ownDomainVms.filter((vm) => vm.id > self.vmId);
   const isRelay = listRelays(fleet, self.failureDomain)
     .some((vm) => vm.id === self.vmId);
   const remote = isRelay ? listRemoteRelays(fleet, self) : [];
@@ -44,7 +46,7 @@
 /**
  * @param fleet The fleet's document.
  * @param failureDomain A failure domain.
- * @returns Its VMs whose steers are relays, the first to pass news on first.
+ * @returns Its VMs whose steers are relays, in order of preference.
  */
 export function listRelays(
   fleet: FleetDocument,
@@ -58,7 +60,10 @@
     .map(({ vm }) => vm);
 }
 
-/** Of two domains, the one whose name is lower dials: no pair links twice. */
+/**
+ * Of two domains, the one whose name sorts first dials, so that no pair of
+ * relays links twice.
+ */
 function listRemoteRelays(
   fleet: FleetDocument,
   self: LocalProcess,
--- a/src/control/topology_test.ts
+++ b/src/control/topology_test.ts
@@ -21,8 +21,8 @@
   return { entryVms } as unknown as FleetDocument;
 }
 
-/** @returns Links by VM id, both ways, of all steers. */
-function linkAll(fleet: FleetDocument): Map<string, Set<string>> {
+/** @returns Linked VM ids of every steer, in both directions, by VM id. */
+function connectAll(fleet: FleetDocument): Map<string, Set<string>> {
   const links = new Map(
     fleet.entryVms.map((vm) => [vm.id, new Set<string>()]),
   );
@@ -38,9 +38,9 @@
 }
 
 for (const [domains, vms] of [[2, 1], [6, 2], [6, 4], [12, 8], [87, 15]]) {
-  test(`${domains} domains of ${vms}: every relay hears every relay`, () => {
+  test(`${domains} domains of ${vms}: every relay links to every other relay`, () => {
     const fleet = makeFleet(domains, vms);
-    const links = linkAll(fleet);
+    const links = connectAll(fleet);
     const names = [...new Set(fleet.entryVms.map((vm) => vm.failureDomain))];
     const relays = names.flatMap((name) => listRelays(fleet, name));
     for (const a of relays) {
@@ -48,13 +48,16 @@
         if (a !== b) assert.ok(links.get(a.id)!.has(b.id), `${a.id} ${b.id}`);
       }
     }
-    const most = Math.max(...[...links.values()].map(({ size }) => size));
-    assert.ok(most <= vms - 1 + (domains - 1) * RELAYS_PER_DOMAIN, `${most}`);
+    const maxLinks = Math.max(...[...links.values()].map(({ size }) => size));
+    assert.ok(
+      maxLinks <= vms - 1 + (domains - 1) * RELAYS_PER_DOMAIN,
+      `${maxLinks}`,
+    );
   });
 
-  test(`${domains} domains of ${vms}: a mesh inside each domain`, () => {
+  test(`${domains} domains of ${vms}: a full mesh within each domain`, () => {
     const fleet = makeFleet(domains, vms);
-    const links = linkAll(fleet);
+    const links = connectAll(fleet);
     for (const a of fleet.entryVms) {
       for (const b of fleet.entryVms) {
         const isPair = a !== b && a.failureDomain === b.failureDomain;
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -1,5 +1,5 @@
 /**
- * The control side of a process, as its other parts see it.
+ * Interface of a process's control plane.
  *
  * @module
  */
@@ -17,55 +17,66 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { HealthReport } from "./messages.ts";
 
-/** What the agent needs. */
+/** Dependencies of the agent. */
 export interface AgentOptions {
   self: Member;
   clock: Clock;
+  /** Shared key that authenticates peers. */
   key: string;
-  /** Only steers read the platform. */
+  /** Present only on steers, which read the table. */
   platform: Platform | undefined;
-  /** Listener of the peer address. */
+  /** HTTP server of the peer address. */
   peerServer: Server;
-  /** Peer addresses known from the settings. */
+  /** Peer addresses to dial until a fleet document is in force. */
   seeds: readonly string[];
-  /** Gives the address to dial for a peer's address. */
+  /**
+   * @param address A peer's address, `host:port`.
+   * @returns The address to dial for it.
+   */
   translate(address: string): string;
 }
 
-/** The control side of a process. */
+/** The control plane of a process. */
 export interface ControlAgent {
   self: Member;
+  /** @returns The configuration in force. */
   config(): ConfigView;
-  /** @returns The newest known form of a replicated row. */
+  /** @returns The newest known version of a replicated row. */
   row(key: string): Row | undefined;
-  /** Called with each batch of rows that came into force. */
+  /** Adds a listener, called with each batch of rows that became newer. */
   onRows(listener: (rows: Row[]) => void): void;
+  /** @returns All known processes and their liveness. */
   members(): ObservedMember[];
+  /** @returns Members of a role that look alive and are not leaving. */
   serving(role: Role): Member[];
-  /** Newest view of each failure domain. */
+  /** @returns The newest view of each failure domain. */
   views(): DomainView[];
-  /** Figures of entries, by entry id. */
+  /** @returns The latest load of each entry, by entry id. */
   loads(): LoadState;
-  /** Hands this process's own figures to the steers. */
+  /** Reports the load of this entry to the steers. */
   reportLoad(load: EntryLoad): void;
-  /** Shares probes of backend servers within the failure domain. */
+  /** Shares probe results of backend servers within the failure domain. */
   reportHealth(reports: HealthReport[]): void;
-  /** Called with probes that another process made. */
+  /** Adds a listener for probe results of other processes. */
   onHealth(listener: (reports: HealthReport[]) => void): void;
-  /** Ids of VMs and backend servers that the platform says are leaving. */
+  /** @returns Ids of VMs and backend servers that the platform marks leaving. */
   leavingVms(): ReadonlySet<string>;
-  /** Tells everybody that this process is about to stop. */
+  /** Announces to all peers that this process is about to stop. */
   leave(): void;
-  /** Whether a newer process with this one's id was seen. */
+  /** @returns Whether a newer process with the same member id was seen. */
   replaced(): boolean;
-  /** Age of the last answer of the table, in ms; Infinity if none. */
+  /** @returns Time since the last read of the table, in ms; Infinity if none. */
   tableAgeMs(): number;
+  /** @returns Version up to which the replica is complete. */
   throughVersion(): number;
-  /** Applies rows that this process has just written itself. */
+  /** Applies rows that this process has just committed to the table. */
   applyCommittedWrite(changes: ChangeSet): void;
+  /** @returns All rows of the replica. */
   allRows(): ChangeSet;
   /** Resolves once a configuration is in force. */
   ready: Promise<void>;
+  /** @returns State for operators; its field names are part of the API. */
   dump(): unknown;
+  /** Stops the timers and closes all links. */
   close(): void;
 }
--- a/src/control/view_exchange.ts
+++ b/src/control/view_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Views of failure domains on links: members travel only where they changed,
- * and only one steer of a failure domain passes others' views on.
+ * Exchanges views of failure domains. Members are sent on a link only when they
+ * changed, and one steer of a failure domain relays the views of others.
  *
  * @module
  */
@@ -12,24 +12,30 @@
 import type { WireView } from "./messages.ts";
 import type { PeerLink } from "./links.ts";
 
-/** What the exchange needs. */
+/** Dependencies of the exchange. */
 export interface ViewExchangeOptions {
   links: LinkTable;
   membership: MembershipState;
   clock: Clock;
-  /** Whether this steer passes others' views on. */
+  /** @returns Whether this steer relays the views of other domains. */
   isRelay(): boolean;
 }
 
-/** Sends and receives views. */
+/** Sends, receives and relays views. */
 export interface ViewExchange {
-  /** Sends this steer's own view on every link. */
+  /**
+   * Records this steer's view of its own failure domain and sends it on every
+   * link.
+   *
+   * @param throughVersion Version that this process has in force.
+   */
   sendOwn(throughVersion: number): void;
+  /** Records views that arrived on a link, and relays them where due. */
   receive(link: PeerLink, views: readonly WireView[]): void;
 }
 
 /**
- * @param options See there.
+ * @param options Dependencies.
  * @returns The exchange.
  */
 export function createViewExchange(
@@ -38,15 +44,23 @@
   const { links, membership, clock, isRelay } = options;
   const { self } = membership;
 
-  function send(link: PeerLink, state: LinkState, view: DomainView): void {
+  function sendView(link: PeerLink, state: LinkState, view: DomainView): void {
     const { members, ...rest } = view;
     const text = JSON.stringify(members);
-    const isKnown = state.sentMembers.get(view.failureDomain) === text;
+    const isUnchanged = state.sentMembers.get(view.failureDomain) === text;
     state.sentMembers.set(view.failureDomain, text);
-    link.send({ kind: "views", views: [isKnown ? rest : view] });
+    link.send({ kind: "views", views: [isUnchanged ? rest : view] });
   }
 
-  function restore(state: LinkState, wire: WireView): DomainView | undefined {
+  /**
+   * Adds the members last received, where the view omits them.
+   *
+   * @returns The whole view, or undefined where its members are not known.
+   */
+  function restoreMembers(
+    state: LinkState,
+    wire: WireView,
+  ): DomainView | undefined {
     const members = wire.members ??
       state.receivedMembers.get(wire.failureDomain);
     if (members === undefined) return undefined;
@@ -54,16 +68,17 @@
     return { ...wire, members };
   }
 
-  function receiveOne(link: PeerLink, wire: WireView): void {
+  function receiveView(link: PeerLink, wire: WireView): void {
     const state = links.get(link);
-    const view = state && restore(state, wire);
+    const view = state && restoreMembers(state, wire);
     if (!state || !view) return;
-    const isNews = recordView(membership, view, clock.monotonicMs());
-    const isFirstHand = state.member?.failureDomain === view.failureDomain &&
+    const isNew = recordView(membership, view, clock.monotonicMs());
+    const isFromSourceDomain =
+      state.member?.failureDomain === view.failureDomain &&
       view.failureDomain !== self.failureDomain;
-    if (!isNews || !isFirstHand || !isRelay()) return;
-    for (const [inside, insideState] of links.listOwnDomain()) {
-      send(inside, insideState, view);
+    if (!isNew || !isFromSourceDomain || !isRelay()) return;
+    for (const [localLink, localState] of links.listOwnDomain()) {
+      sendView(localLink, localState, view);
     }
   }
 
@@ -73,11 +88,11 @@
       const view = makeOwnView(membership, throughVersion, nowMs);
       recordView(membership, view, nowMs);
       for (const [link, state] of links.all()) {
-        if (state.member) send(link, state, view);
+        if (state.member) sendView(link, state, view);
       }
     },
     receive(link, views) {
-      for (const view of views) receiveOne(link, view);
+      for (const view of views) receiveView(link, view);
     },
   };
 }
--- a/src/lookup/blocks.ts
+++ b/src/lookup/blocks.ts
@@ -40,18 +40,18 @@
 export function createBlockTable(
   ranges: FleetDocument["clientBlocks"],
 ): BlockTable {
-  const flat = flattenRanges(ranges.map(parseRange));
-  const regions = [...new Set(flat.map(({ region }) => region))];
+  const segments = flattenRanges(ranges.map(parseRange));
+  const regions = [...new Set(segments.map(({ region }) => region))];
   const regionIndex = new Map(regions.map((name, index) => [name, index]));
-  const first = Uint32Array.from(flat, (range) => range.first);
-  const last = Uint32Array.from(flat, (range) => range.last);
-  const prefix = Uint8Array.from(flat, (range) => range.blockPrefixLength);
+  const first = Uint32Array.from(segments, (range) => range.first);
+  const last = Uint32Array.from(segments, (range) => range.last);
+  const prefix = Uint8Array.from(segments, (range) => range.blockPrefixLength);
   const region = Uint16Array.from(
-    flat,
+    segments,
     (range) => regionIndex.get(range.region)!,
   );
   return {
-    size: flat.length,
+    size: segments.length,
     find(client) {
       const index = findLastAtMost(first, client);
       if (index < 0 || client > last[index]) return undefined;
@@ -87,30 +87,32 @@
   const sorted = [...ranges].sort((a, b) =>
     a.first - b.first || b.last - a.last
   );
-  const flat: Range[] = [];
-  const open: Range[] = [];
-  let cursor = 0;
+  const segments: Range[] = [];
+  const enclosing: Range[] = [];
+  let nextFirst = 0;
 
   function emit(range: Range, last: number) {
-    if (cursor <= last) flat.push({ ...range, first: cursor, last });
-    cursor = Math.max(cursor, last + 1);
+    if (nextFirst <= last) segments.push({ ...range, first: nextFirst, last });
+    nextFirst = Math.max(nextFirst, last + 1);
   }
 
   for (const range of sorted) {
-    while (open.length > 0 && open[open.length - 1].last < range.first) {
-      const done = open.pop()!;
+    while (
+      enclosing.length > 0 && enclosing[enclosing.length - 1].last < range.first
+    ) {
+      const done = enclosing.pop()!;
       emit(done, done.last);
     }
-    const outer = open[open.length - 1];
+    const outer = enclosing[enclosing.length - 1];
     if (outer) emit(outer, range.first - 1);
-    cursor = Math.max(cursor, range.first);
-    open.push(range);
+    nextFirst = Math.max(nextFirst, range.first);
+    enclosing.push(range);
   }
-  while (open.length > 0) {
-    const done = open.pop()!;
+  while (enclosing.length > 0) {
+    const done = enclosing.pop()!;
     emit(done, done.last);
   }
-  return flat;
+  return segments;
 }
 
 /** @returns Index of the last value at most `wanted`, or -1. */
--- a/src/lookup/logic.ts
+++ b/src/lookup/logic.ts
@@ -118,13 +118,13 @@
   };
   const inRegion = serving.filter((member) => member.region === region);
   const domains = [...new Set(inRegion.map((member) => member.failureDomain))];
-  const ranked = pickRegion(request) === region
+  const rankedDomains = pickRegion(request) === region
     ? rankDomains(request, domains)
     : rankByRendezvous(
       `entry ${client.block}`,
       domains.map((id) => ({ id, weight: 1 })),
     ).map(({ id }) => id);
-  const members = ranked.flatMap((domain) => {
+  const members = rankedDomains.flatMap((domain) => {
     const candidates = inRegion
       .filter((member) => member.failureDomain === domain)
       .map((member) => ({ id: member.id, weight: 1, member }));
--- a/src/lookup/logic_test.ts
+++ b/src/lookup/logic_test.ts
@@ -24,8 +24,8 @@
       .reduce((sum, part) => sum * 256 + Number(part), 0);
     const size = 2 ** (32 - Number(length));
     const start = Math.floor(first / size) * size;
-    const holds = client >= start && client < start + size;
-    if (holds && Number(length) > bestLength) {
+    const contains = client >= start && client < start + size;
+    if (contains && Number(length) > bestLength) {
       best = range;
       bestLength = Number(length);
     }
@@ -67,14 +67,14 @@
 
 test("a change of weights moves little more than the share it must", () => {
   const regionOf = new Map([["a1", "a"], ["b1", "b"], ["c1", "c"]]);
-  const place = (row: Record<string, number>, index: number) =>
+  const getRegion = (row: Record<string, number>, index: number) =>
     pickRegion({ service: "s", block: `10.0.${index}.0/24`, row, regionOf });
   const before = { a1: 0.6, b1: 0.3, c1: 0.1 };
   const after = { a1: 0.5, b1: 0.4, c1: 0.1 };
   const count = 20_000;
   let moved = 0;
   for (let index = 0; index < count; index++) {
-    if (place(before, index) !== place(after, index)) moved += 1;
+    if (getRegion(before, index) !== getRegion(after, index)) moved += 1;
   }
   const share = moved / count;
   assert.ok(share > 0.08 && share < 0.125, `moved ${share}, must be 0.1`);
--- a/src/replica/logic.ts
+++ b/src/replica/logic.ts
@@ -24,8 +24,8 @@
     return { outcome: "gap", afterVersion: state.throughVersion };
   }
   const changed = changes.rows.filter((row) => {
-    const known = state.rows.get(row.key)?.version ?? 0;
-    return row.version > known;
+    const knownVersion = state.rows.get(row.key)?.version ?? 0;
+    return row.version > knownVersion;
   });
   for (const row of changed) state.rows.set(row.key, row);
   state.throughVersion = Math.max(
