--- a/src/membership/logic.ts
+++ b/src/membership/logic.ts
@@ -1,6 +1,6 @@
 /**
- * Failure detection: heartbeats inside a failure domain, views among domains.
- * Pure: time comes in as `nowMs`, a monotonic time.
+ * Failure detection, by heartbeats within a failure domain and by views between
+ * domains. Pure: the caller passes the monotonic time as `nowMs`.
  *
  * @module
  */
@@ -13,14 +13,14 @@
   Role,
 } from "./types.ts";
 
-/** A heartbeat as it came in. */
+/** A heartbeat and its sender. */
 export interface ReceivedHeartbeat {
   member: Member;
   throughVersion: number;
 }
 
 /**
- * Takes in a heartbeat.
+ * Records a heartbeat. One of an older incarnation is ignored.
  *
  * @param state Changed in place.
  * @param heartbeat The heartbeat.
@@ -44,10 +44,10 @@
 }
 
 /**
- * Takes in that a direct link broke.
+ * Records that a direct link was lost; its peer is suspect until it is heard again.
  *
  * @param state Changed in place.
- * @param memberId Whose link it was.
+ * @param memberId Member id of the peer.
  */
 export function recordLinkClosed(
   state: MembershipState,
@@ -58,12 +58,12 @@
 }
 
 /**
- * Takes in a view of a failure domain.
+ * Records a view of a failure domain, if it is newer than the known one.
  *
  * @param state Changed in place.
  * @param view The view.
  * @param nowMs Monotonic time, in ms.
- * @returns Whether it was news worth relaying.
+ * @returns Whether it was newer, and is to be relayed.
  */
 export function recordView(
   state: MembershipState,
@@ -77,7 +77,10 @@
   return true;
 }
 
-/** One author's views go by sequence; two authors' views both count as news. */
+/**
+ * Views of one author are ordered by incarnation and sequence. Views of different
+ * authors can't be ordered: the last to arrive counts as newer.
+ */
 function isNewer(view: DomainView, stored: DomainView): boolean {
   if (view.authorId !== stored.authorId) return true;
   if (view.authorIncarnation !== stored.authorIncarnation) {
@@ -86,6 +89,11 @@
   return view.sequence > stored.sequence;
 }
 
+/**
+ * Detects that a newer process has taken this one's member id.
+ *
+ * @returns Whether the member has this process's id.
+ */
 function detectReplacement(state: MembershipState, member: Member): boolean {
   if (member.id !== state.self.id) return false;
   if (member.incarnation > state.self.incarnation) state.replaced = true;
@@ -93,9 +101,9 @@
 }
 
 /**
- * Makes this process's view of its own failure domain.
+ * Creates this process's view of its own failure domain.
  *
- * @param state Changed in place: the sequence rises.
+ * @param state Changed in place: its sequence is incremented.
  * @param throughVersion Version that this process has in force.
  * @param nowMs Monotonic time, in ms.
  * @returns The view to send.
@@ -116,7 +124,7 @@
     authorId: state.self.id,
     authorIncarnation: state.self.incarnation,
     sequence: state.ownSequence,
-    // In one order for all authors, so that equal members read alike.
+    // The same order for all authors, so that equal lists have equal JSON.
     members: [state.self, ...alive.map((peer) => peer.member)]
       .sort((a, b) => a.id < b.id ? -1 : 1),
     lowestVersion: Math.min(throughVersion, ...versions),
@@ -125,9 +133,9 @@
 }
 
 /**
- * @param state What is known.
+ * @param state The local view of the fleet.
  * @param nowMs Monotonic time, in ms.
- * @returns Every known process, this one included, and how alive it looks.
+ * @returns Every known process, this one included, and its liveness.
  */
 export function observeMembers(
   state: MembershipState,
@@ -152,8 +160,8 @@
 }
 
 /**
- * @param state What is known.
- * @param role The role wanted.
+ * @param state The local view of the fleet.
+ * @param role The role to list.
  * @param nowMs Monotonic time, in ms.
  * @returns Members of that role that look alive and are not leaving.
  */
--- a/src/membership/logic_test.ts
+++ b/src/membership/logic_test.ts
@@ -65,14 +65,14 @@
 ];
 
 for (const [silenceMs, expected] of silences) {
-  test(`after ${silenceMs} ms of silence a peer looks ${expected}`, () => {
+  test(`after ${silenceMs} ms without a heartbeat a peer is ${expected}`, () => {
     const state = createMembershipState(makeMember("vm1/steer"));
     receiveHeartbeat(state, entry, 0);
     assert.is(getLiveness(state, entry.id, silenceMs), expected);
   });
 }
 
-test("a broken link makes a peer suspect at once, a heartbeat alive", () => {
+test("a lost link makes a peer suspect at once, a heartbeat makes it alive", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
   receiveHeartbeat(state, entry, 0);
   recordLinkClosed(state, entry.id);
@@ -88,7 +88,7 @@
   assert.is(listServing(state, "entry", 2)[0].incarnation, 2);
 });
 
-test("a process that wakes learns that it was replaced", () => {
+test("a process that resumes detects that it was replaced", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
   recordView(state, makeView(1, [makeMember("vm1/steer", "a-1")]), 0);
   assert.is(state.replaced, false);
@@ -107,7 +107,7 @@
   assert.is(getLiveness(state, far.id, 4_001), "alive");
 });
 
-test("views come late or twice without harm", () => {
+test("late and duplicate views are ignored", () => {
   const state = createMembershipState(makeMember("vm1/steer"));
   const far = makeMember("vm8/entry", "b-1");
   assert.is(recordView(state, makeView(5, [far]), 0), true);
@@ -117,7 +117,7 @@
 });
 
 for (const ownState of ["serving", "leaving"] as MemberState[]) {
-  test(`an entry that is ${ownState} is ${ownState === "serving" ? "" : "not "}named`, () => {
+  test(`an entry that is ${ownState} is ${ownState === "serving" ? "" : "not "}listed`, () => {
     const state = createMembershipState(makeMember("vm1/steer"));
     receiveHeartbeat(state, { ...entry, state: ownState }, 0);
     const ids = listServing(state, "entry", 1).map(({ id }) => id);
--- a/src/membership/state.ts
+++ b/src/membership/state.ts
@@ -1,5 +1,5 @@
 /**
- * What one process knows of the others.
+ * A process's local view of the other processes.
  *
  * @module
  */
@@ -10,40 +10,42 @@
   type Member,
 } from "./types.ts";
 
-/** A member of the own failure domain, heard over a direct link. */
+/** A member of the own failure domain, reached over a direct link. */
 export interface DirectPeer {
   member: Member;
+  /** Monotonic time of its last heartbeat, in ms. */
   lastHeartbeatMs: number;
-  /** False from the moment its connection broke until it is heard again. */
+  /** False from the loss of its connection until its next heartbeat. */
   isConnected: boolean;
   /** Version that it has in force. */
   throughVersion: number;
 }
 
-/** A view of a failure domain and when it came. */
+/** A view of a failure domain and when it was received. */
 export interface ReceivedView {
   view: DomainView;
+  /** Monotonic time, in ms. */
   receivedMs: number;
 }
 
-/** All that a process knows of the others. */
+/** A process's local view of the fleet. */
 export interface MembershipState {
   self: Member;
   timings: DetectionTimings;
-  /** By member id. */
+  /** Members of the own failure domain with a direct link, by member id. */
   direct: Map<string, DirectPeer>;
-  /** Newest view of each failure domain. */
+  /** Newest view of each failure domain, by its name. */
   views: Map<string, ReceivedView>;
-  /** Sequence of the views that this process makes. */
+  /** Sequence of the last view that this process made. */
   ownSequence: number;
-  /** Set when a newer process with this one's id was seen. */
+  /** Whether a newer process with the same member id was seen. */
   replaced: boolean;
 }
 
 /**
  * @param self This process.
- * @param timings Times of failure detection.
- * @returns Knowledge of a process that has heard nobody yet.
+ * @param timings Timings of failure detection.
+ * @returns The state of a process that has heard from no other yet.
  */
 export function createMembershipState(
   self: Member,
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -1,13 +1,13 @@
 /**
- * Who takes part: the system's own processes, grouped by failure domain.
+ * Members of the system: its own processes, grouped by failure domain.
  *
  * @module
  */
 
-/** What a process does. */
+/** Kind of a process. */
 export type Role = "steer" | "entry";
 
-/** What a process says of itself. */
+/** State that a process announces of itself. */
 export type MemberState = "serving" | "leaving";
 
 /** A process of the system. */
@@ -18,54 +18,56 @@
   role: Role;
   failureDomain: string;
   region: string;
-  /** Rises with each start of the process; in ms since the epoch. */
+  /** Start time, in ms since the Unix epoch; increases with each start. */
   incarnation: number;
   state: MemberState;
 }
 
-/** How alive another process looks from here. */
+/** Liveness of a process, as another one observes it. */
 export type Liveness =
-  /** Heard of in time. */
+  /** Its heartbeats or its domain's views arrive in time. */
   | "alive"
-  /** Overdue, or its connection broke: gets no new callers. */
+  /** Its heartbeat is overdue or its connection was lost: gets no new callers. */
   | "suspect"
-  /** Overdue for long. */
+  /** Its heartbeat is overdue by longer. */
   | "dead"
-  /** Its whole failure domain can't be heard: it may be alive. */
+  /** No current view of its failure domain; it may be alive. */
   | "unreachable";
 
-/** A member and how alive it looks. */
+/** A member and its liveness. */
 export interface ObservedMember {
   member: Member;
   liveness: Liveness;
 }
 
-/** A failure domain's members, as one of its steers sees them. */
+/** Members of a failure domain, as one of its steers observes them. */
 export interface DomainView {
   failureDomain: string;
   /** Member id of the steer that made it. */
   authorId: string;
   authorIncarnation: number;
-  /** Rises with each view of the same author. */
+  /** Increases with each view of the same author. */
   sequence: number;
-  /** Only members that the author holds for alive. */
+  /** Only members that look alive to the author. */
   members: Member[];
   /** Lowest version that all those members have in force. */
   lowestVersion: number;
-  /** Members that do not have the author's own version in force yet. */
+  /** Number of members that don't have the author's version in force yet. */
   behindCount: number;
 }
 
-/** Times of failure detection, in ms. */
+/** Timings of failure detection, in ms. */
 export interface DetectionTimings {
   heartbeatPeriodMs: number;
+  /** Time without a heartbeat after which a peer is suspect. */
   suspectAfterMs: number;
+  /** Time without a heartbeat after which a peer is dead. */
   deadAfterMs: number;
-  /** Age at which another domain's view no longer counts. */
+  /** Age at which a view of another domain expires. */
   viewExpiryMs: number;
 }
 
-/** Defaults that hold a loopback fleet and 35 ms links alike. */
+/** Defaults for links with delays from loopback up to 35 ms. */
 export const DEFAULT_DETECTION_TIMINGS: DetectionTimings = {
   heartbeatPeriodMs: 500,
   suspectAfterMs: 1_500,
--- a/src/replica/logic.ts
+++ b/src/replica/logic.ts
@@ -1,23 +1,24 @@
 /**
- * Applies and hands on change sets. Versions only ever rise, so sets may come
- * late, twice, crossed and from any peer.
+ * Applies change sets to a replica and collects them for peers. Row versions only
+ * increase, so sets may arrive late, twice, out of order and from any peer.
  *
  * @module
  */
 import type { ChangeSet } from "../platform/types.ts";
 import type { Applied, ReplicaState } from "./types.ts";
 
-/** @returns An empty copy. */
+/** @returns An empty replica at version 0. */
 export function createReplicaState(): ReplicaState {
   return { throughVersion: 0, rows: new Map() };
 }
 
 /**
- * Applies a change set.
+ * Applies a change set. A set that starts after the replica's version would leave
+ * a gap, and is not applied.
  *
- * @param state The copy; changed in place.
- * @param changes The set.
- * @returns The rows that became newer, or the gap that forbids applying.
+ * @param state The replica; changed in place.
+ * @param changes The change set.
+ * @returns The rows that became newer, or the gap.
  */
 export function applyChanges(state: ReplicaState, changes: ChangeSet): Applied {
   if (changes.afterVersion > state.throughVersion) {
@@ -36,9 +37,11 @@
 }
 
 /**
- * @param state The copy.
- * @param afterVersion Last version that the peer knows.
- * @returns Everything newer, complete up to this copy's own version.
+ * Collects what a peer lacks.
+ *
+ * @param state The replica.
+ * @param afterVersion Version up to which the peer's replica is complete.
+ * @returns All newer rows, complete up to this replica's version.
  */
 export function collectChanges(
   state: ReplicaState,
--- a/src/replica/logic_test.ts
+++ b/src/replica/logic_test.ts
@@ -7,7 +7,7 @@
   return { key, version, writeId: `w${version}`, value: `${version}` };
 }
 
-test("a late set never replaces a newer row", () => {
+test("a late change set never replaces a newer row", () => {
   const state = createReplicaState();
   applyChanges(state, {
     afterVersion: 0,
@@ -24,7 +24,7 @@
   assert.is(state.throughVersion, 5);
 });
 
-test("a set that starts after a gap is not applied", () => {
+test("a change set that starts after a gap is not applied", () => {
   const state = createReplicaState();
   const applied = applyChanges(state, {
     afterVersion: 4,
@@ -35,7 +35,7 @@
   assert.is(state.rows.size, 0);
 });
 
-test("a copy catches up from any version that it has", () => {
+test("a replica catches up from any version that it has", () => {
   const source = createReplicaState();
   const rows = [makeRow("config/a", 1), makeRow("config/b", 4)];
   applyChanges(source, { afterVersion: 0, throughVersion: 7, rows });
--- a/src/replica/types.ts
+++ b/src/replica/types.ts
@@ -1,28 +1,28 @@
 /**
- * A process's copy of the table's replicated rows.
+ * A process's replica of the platform table's rows.
  *
  * @module
  */
 import type { Row } from "../platform/types.ts";
 
-/** Key prefixes that every process keeps a copy of. */
+/** Key prefixes of the rows that every process replicates. */
 export const REPLICATED_PREFIXES: readonly string[] = [
   "config/",
   "plan/",
   "lease/",
 ];
 
-/** The copy; complete up to `throughVersion`. */
+/** A replica, complete up to `throughVersion`. */
 export interface ReplicaState {
   /** Every change up to this version has been applied. */
   throughVersion: number;
-  /** Latest known form of each row. */
+  /** Newest known version of each row, by key. */
   rows: Map<string, Row>;
 }
 
-/** What applying a change set did. */
+/** Result of applying a change set. */
 export type Applied =
-  /** Rows that are newer than before; empty where nothing was new. */
+  /** The rows that became newer; empty if none did. */
   | { outcome: "applied"; changed: Row[] }
-  /** The set starts after what is known: ask again from `afterVersion`. */
+  /** The set starts after the replica's version, `afterVersion`. */
   | { outcome: "gap"; afterVersion: number };
