--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks that a schema alone can't make: names that must exist, and promises
- * that can't all be kept.
+ * Checks beyond the schemas: unique and existing names, client ranges, and
+ * settings that contradict each other.
  *
  * @module
  */
@@ -21,15 +21,16 @@
   serviceSchema,
 } from "./schema.ts";
 
+/** A problem that is not yet located in the text. */
 interface Finding {
   path: FieldPath;
   problem: string;
 }
 
-/** A checked document and what an operator should know about it. */
+/** A valid document and the warnings about it. */
 export interface CheckedDocument<T> {
   document: T;
-  /** Conflicts that do not stop it; the safe side wins at run time. */
+  /** Contradictory settings; at run time the safer one takes precedence. */
   warnings: DocumentProblem[];
 }
 
@@ -37,7 +38,8 @@
  * Checks a service's document.
  *
  * @param source Its text and file name.
- * @param fleet The fleet it will run in; absent, names are not checked.
+ * @param fleet The fleet that it will run in; absent: names of regions and
+ * failure domains are not checked.
  * @returns The document with warnings, or all problems.
  */
 export function checkService(
@@ -87,7 +89,7 @@
     if (seen.has(id)) {
       return [{
         path: [field, index, "id"],
-        problem: `"${id}" stands twice; names must be unique`,
+        problem: `"${id}" is used more than once; names must be unique`,
       }];
     }
     seen.add(id);
@@ -139,7 +141,7 @@
   return [...unknownRegions, ...unknownDomains];
 }
 
-/** Promises of one document that can't all be kept. */
+/** Finds settings of a document that can't all be satisfied. */
 function findConflicts(
   document: ServiceDocument,
   fleet: FleetDocument | undefined,
@@ -163,7 +165,7 @@
   if (document.shiftCap.maxShare === 0 && document.drains.length > 0) {
     findings.push({
       path: ["shiftCap", "maxShare"],
-      problem: "A cap of 0 never lets a drained place's traffic move; " +
+      problem: "A cap of 0 prevents traffic from moving away from a drain; " +
         "it will be refused as not run",
     });
   }
@@ -232,7 +234,7 @@
     return isValid ? [] : [{
       path: ["clientBlocks", index, "cidr"],
       problem: `"${cidr}" is not a range of /${blockPrefixLength} blocks; ` +
-        `allowed: an IPv4 number and a prefix length up to ${blockPrefixLength}`,
+        `allowed: an IPv4 address and a prefix length up to ${blockPrefixLength}`,
     }];
   });
 }
--- a/src/config/check_test.ts
+++ b/src/config/check_test.ts
@@ -9,7 +9,7 @@
   regions: [{ name: "thies", failureDomains: ["thies-1"] }],
 } as FleetDocument;
 
-test("a document gets its defaults", () => {
+test("defaults are filled in", () => {
   const source = { file: "enrol.jsonc", text: makeServiceText() };
   const { document, warnings } = checkService(source, fleet)._unsafeUnwrap();
   assert.is(document.backendServers[0].connections, 400);
@@ -60,14 +60,14 @@
 ];
 
 for (const [name, text, expected] of invalidDocuments) {
-  test(`${name} is refused with file, line and field`, () => {
+  test(`problem is reported with file, line and field: ${name}`, () => {
     const checked = checkService({ file: "enrol.jsonc", text }, fleet);
     const problems = checked._unsafeUnwrapErr().map(formatProblem).join("\n");
     assert.match(problems, expected);
   });
 }
 
-test("capacity that can't serve what is expected is a warning", () => {
+test("too little capacity for the expected requests is a warning", () => {
   const text = makeServiceText({
     expectedRequestsPerS: { thies: 1_000 },
     expectedServiceMs: 50,
--- a/src/config/fixture.ts
+++ b/src/config/fixture.ts
@@ -1,15 +1,15 @@
 /**
- * Documents for tests.
+ * Configuration documents for tests.
  *
  * @module
  */
 
-/** Service of the document that tests use. */
+/** Name of the service in the test document. */
 export const TEST_SERVICE = "enrol";
 
 /**
- * @param changes Fields that differ from a service with one backend server.
- * @returns Its document, as an operator writes it.
+ * @param changes Fields that replace those of a service with one backend server.
+ * @returns Text of the service's document: JSON with a comment.
  */
 export function makeServiceText(changes: Record<string, unknown> = {}): string {
   const document = {
--- a/src/config/jsonc.ts
+++ b/src/config/jsonc.ts
@@ -1,5 +1,6 @@
 /**
- * JSON with comments, checked by a schema; problems name line and field.
+ * Parses JSON with comments and validates it against a schema. Problems carry
+ * file, line, column and field.
  *
  * @module
  */
@@ -14,30 +15,30 @@
 import { err, ok, type Result } from "neverthrow";
 import type * as z from "zod";
 
-/** One thing wrong in a document. */
+/** A problem in a document. */
 export interface DocumentProblem {
   file: string;
   /** From 1. */
   line: number;
   /** From 1. */
   column: number;
-  /** Path of the field, such as `classes[0].weight`. */
+  /** Path of the field, such as `classes[0].weight`; empty: the document. */
   field: string;
-  /** What is wrong and what is allowed. */
+  /** What is wrong, and what is allowed. */
   problem: string;
 }
 
-/** Path of a field: names and indexes. */
+/** Path of a field: property names and array indexes. */
 export type FieldPath = readonly (string | number)[];
 
-/** A document's text and where it came from. */
+/** A document's text and file name. */
 export interface DocumentSource {
   file: string;
   text: string;
 }
 
 /**
- * Parses and checks a document.
+ * Parses and validates a document.
  *
  * @param source Its text and file name.
  * @param schema The schema that it must satisfy.
@@ -72,6 +73,8 @@
 }
 
 /**
+ * Adds the position in the text to a problem with a field.
+ *
  * @param source The document.
  * @param finding The field's path and what is wrong with it.
  * @returns The problem with its line and column.
@@ -92,7 +95,7 @@
 
 /**
  * @param problem A problem.
- * @returns One line for a person: `file:line:column: field: problem`.
+ * @returns One line of text: `file:line:column: field: problem`.
  */
 export function formatProblem(problem: DocumentProblem): string {
   const { file, line, column, field } = problem;
@@ -102,7 +105,7 @@
     : `${position}: ${field}: ${problem.problem}`;
 }
 
-/** A missing field has no place of its own: its nearest parent's is taken. */
+/** @returns Node of a field, or of its nearest parent where it is missing. */
 function findNearestNode(tree: Node, path: FieldPath): Node | undefined {
   for (let length = path.length; length >= 0; length--) {
     const node = findNodeAtLocation(tree, path.slice(0, length));
--- a/src/config/regions.ts
+++ b/src/config/regions.ts
@@ -1,13 +1,13 @@
 /**
- * Which region a failure domain belongs to. Pure.
+ * Maps failure domains to regions. Pure.
  *
  * @module
  */
 import type { DomainName, FleetDocument, RegionName } from "./schema.ts";
 
 /**
- * @param fleet The fleet's document, or its regions alone.
- * @returns The region of each failure domain.
+ * @param fleet The fleet's document, or an object with its regions alone.
+ * @returns Region name of each failure domain.
  */
 export function mapRegions(
   { regions }: Pick<FleetDocument, "regions">,
--- a/src/config/rows.ts
+++ b/src/config/rows.ts
@@ -1,6 +1,6 @@
 /**
- * How documents are kept in the table: one row for the version in force, one
- * for each version of the history.
+ * Rows of documents in the platform table: one with the latest version of a
+ * document, and one for each version of its history.
  *
  * @module
  */
@@ -12,20 +12,20 @@
 const SERVICE_PREFIX = "config/service/";
 
 const storedDocumentSchema = z.object({
-  /** 1 for the first version of a document, then 2, 3 and so on. */
+  /** Version number of the document: 1, 2, 3 and so on. */
   number: z.number(),
   text: z.string(),
   author: z.string(),
-  /** When it was put, in ms since the epoch. */
+  /** Time of the put, in ms since the Unix epoch. */
   atMs: z.number(),
 });
 
-/** A version of a document as kept in the table. */
+/** A version of a document as stored in the table. */
 export type StoredDocument = z.infer<typeof storedDocumentSchema>;
 
 /**
  * @param service Name of a service.
- * @returns Key of its document's row.
+ * @returns Key of the row with its document.
  */
 export function getServiceKey(service: string): string {
   return `${SERVICE_PREFIX}${service}`;
@@ -33,15 +33,16 @@
 
 /**
  * @param key Key of a document's row.
- * @returns Key of the row of one version of it.
+ * @param number Version number.
+ * @returns Key of the history row with that version.
  */
 export function getHistoryKey(key: string, number: number): string {
   return `history/${key}/${String(number).padStart(8, "0")}`;
 }
 
 /**
- * @param key A row's key.
- * @returns The service whose document it holds, if any.
+ * @param key Key of a row.
+ * @returns The service whose document the row holds; undefined for other rows.
  */
 export function parseServiceKey(key: string): string | undefined {
   if (!key.startsWith(SERVICE_PREFIX)) return undefined;
@@ -50,7 +51,7 @@
 
 /**
  * @param row A document's row.
- * @returns What it holds, or undefined where it is empty or malformed.
+ * @returns The stored version; undefined where the row is absent or malformed.
  */
 export function parseStoredDocument(row: Row): StoredDocument | undefined {
   if (row.version === 0) return undefined;
--- a/src/config/schema.ts
+++ b/src/config/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The two documents that operators edit. This schema is the one source of
- * defaults, checks and the reference page.
+ * Schemas of the two documents that operators edit. Defaults, validation and the
+ * generated reference page all derive from them.
  *
  * @module
  */
@@ -149,7 +149,7 @@
 export type Drain = ServiceDocument["drains"][number];
 /** An entry VM. */
 export type EntryVm = FleetDocument["entryVms"][number];
-/** Region of a caller or of a failure domain. */
+/** Name of a region, of a caller or of a failure domain. */
 export type RegionName = string;
 /** Name of a failure domain. */
 export type DomainName = string;
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -1,6 +1,6 @@
 /**
- * Puts documents into the table: compare-and-set from the version they were
- * edited from, and a read-back where the answer was lost.
+ * Stores documents in the table by compare-and-set against the version that they
+ * were edited from. If the response to a write is lost, the outcome is read back.
  *
  * @module
  */
@@ -15,15 +15,16 @@
   type StoredDocument,
 } from "./rows.ts";
 
-/** A document as read for editing. */
+/** The current version of a document, as read for editing. */
 export interface CurrentDocument {
-  /** Version of the row, to be given back with a put; 0 where there is none. */
+  /** Version of the row, to be passed to a put; 0 where there is no row. */
   rowVersion: number;
   stored: StoredDocument | undefined;
 }
 
-/** A put of a new version. */
+/** A request to store a new version of a document. */
 export interface PutRequest {
+  /** Key of the document's row. */
   key: string;
   text: string;
   author: string;
@@ -31,28 +32,32 @@
   baseRowVersion: number;
 }
 
-/** How a put ended. */
+/** Outcome of a put. */
 export type PutOutcome =
   | { outcome: "accepted"; number: number; rowVersion: number }
-  /** Another edit came first; nothing was written. */
+  /** Another edit was stored first; nothing was written. */
   | { outcome: "race"; theirs: CurrentDocument };
 
-/** Reads and writes documents. */
+/** Reads and stores documents. */
 export interface DocumentStore {
+  /** @returns The current version, or the error of the table. */
   read(key: string): Promise<Result<CurrentDocument, StepError>>;
-  /** @returns How it ended; an error of kind `unknown` leaves it open. */
+  /**
+   * @returns The outcome, or an error. With an error of kind `unknown` the
+   * document may or may not have been stored.
+   */
   put(put: PutRequest): Promise<Result<PutOutcome, StepError>>;
-  /** @returns All versions, oldest first. */
+  /** @returns All versions, oldest first, or the error of the table. */
   history(key: string): Promise<Result<StoredDocument[], StepError>>;
 }
 
-/** Reads that resolve a lost answer before giving up. */
+/** Reads of the history row before the outcome of a put counts as unknown. */
 const MAX_READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 300;
 
 /**
  * @param table The platform's table.
- * @param clock For dates and pauses.
+ * @param clock Clock for timestamps and pauses.
  * @returns The store.
  */
 export function createDocumentStore(
@@ -100,7 +105,10 @@
     return theirs.map((document) => ({ outcome: "race", theirs: document }));
   }
 
-  /** The history row of a number is written once, by whoever won it. */
+  /**
+   * Resolves a put whose response was lost. Each history row is written once, so
+   * its write id shows which put succeeded.
+   */
   async function readBack(
     write: { key: string; historyKey: string; writeId: string; number: number },
   ): Promise<Result<PutOutcome, StepError>> {
@@ -121,7 +129,7 @@
     }
     return err(
       new StepError(
-        "The answer was lost and the table shows no write yet; " +
+        "The table's response was lost and no write is visible yet; " +
           "read the document before putting it again",
         { step: "config.put", peer: "table", kind: "unknown" },
       ),
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -23,7 +23,7 @@
 
 type LostAnswerTiming = "after" | "before";
 
-/** A table that loses the answer to the next write. */
+/** A table that loses the response to the next write, after or before it. */
 class LossyTable extends MemoryTable {
   loseAnswer: LostAnswerTiming | undefined;
   writes = 0;
@@ -54,7 +54,7 @@
   baseRowVersion,
 });
 
-test("two editors race: the second is refused and shown the first", async () => {
+test("concurrent edits: the second is rejected and returns the first", async () => {
   const { store } = setUp();
   const first = (await store.put(put("one", 0)))._unsafeUnwrap();
   assert.is(first.outcome, "accepted");
@@ -65,7 +65,7 @@
   }
 });
 
-test("truly simultaneous puts: one is accepted", async () => {
+test("simultaneous puts: exactly one is accepted", async () => {
   const { store } = setUp();
   const results = await Promise.all(
     ["one", "two", "three"].map((text) => store.put(put(text, 0))),
@@ -76,7 +76,7 @@
   assert.is(history.length, 1);
 });
 
-test("a lost answer after the write is resolved without writing twice", async () => {
+test("a response lost after the write is resolved without a second write", async () => {
   const { table, store } = setUp();
   table.loseAnswer = "after";
   const result = (await store.put(put("one", 0)))._unsafeUnwrap();
@@ -85,7 +85,7 @@
   assert.is((await store.history(KEY))._unsafeUnwrap().length, 1);
 });
 
-test("a lost answer without a write is told to be unknown", async () => {
+test("a response lost without a write is reported as unknown", async () => {
   const { table, store } = setUp();
   table.loseAnswer = "before";
   const result = await store.put(put("one", 0));
@@ -93,7 +93,7 @@
   assert.is(table.writes, 1);
 });
 
-test("a lost answer, overtaken by another edit, is still resolved", async () => {
+test("a put whose response was lost is resolved, then edited again", async () => {
   const { table, store } = setUp();
   await store.put(put("zero", 0));
   const from = (await store.read(KEY))._unsafeUnwrap().rowVersion;
--- a/src/config/view.ts
+++ b/src/config/view.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force in a process: the newest acceptable version of
- * each document.
+ * The configuration in force in a process: the newest valid version of each
+ * document.
  *
  * @module
  */
@@ -22,11 +22,11 @@
 /** A document in force. */
 export interface InForce<T> {
   document: T;
-  /** Number of the document's version. */
+  /** Version number of the document. */
   number: number;
   /** Version of its row. */
   rowVersion: number;
-  /** When its author put it, in ms since the epoch of time. */
+  /** Time of the put, in ms since the Unix epoch. */
   atMs: number;
 }
 
@@ -39,18 +39,18 @@
   regionOf: Map<DomainName, string>;
 }
 
-/** @returns A view with nothing in force. */
+/** @returns A view without any document. */
 export function createConfigView(): ConfigView {
   return { fleet: undefined, services: new Map(), regionOf: new Map() };
 }
 
 /**
- * Brings a changed row into force. A row that is older than what is in force,
- * or not acceptable, changes nothing: the last good version stays.
+ * Applies a changed row. A row that is older than the document in force, or
+ * invalid, changes nothing: the last valid version stays in force.
  *
  * @param view Changed in place.
  * @param row The changed row.
- * @returns Whether anything came into force.
+ * @returns Whether a document came into force.
  */
 export function applyConfigRow(view: ConfigView, row: Row): boolean {
   if (row.key === FLEET_KEY) return applyFleetRow(view, row);
@@ -95,6 +95,11 @@
   return true;
 }
 
+/**
+ * Parses a row unless it is older than the document in force. After a restore of
+ * the table the row version is higher although the document may be older; then
+ * the time of the put decides.
+ */
 function parseNewer(
   row: Row,
   inForce: InForce<unknown> | undefined,
--- a/src/config/view_test.ts
+++ b/src/config/view_test.ts
@@ -22,8 +22,9 @@
   assert.is(getNumberInForce(makeRow(2, 4, 50), makeRow(1, 3, 100)), 2);
 });
 
-// A restored table lists documents that were replaced since its copy.
-test("a restored table takes no document back", () => {
+// Guards against a rollback after the table is restored from a backup: it then
+// lists documents, with higher row versions, that were replaced after the backup.
+test("a restored table does not roll a document back", () => {
   const lost = makeRow(2, 9, 200);
   const copied = makeRow(1, EPOCH_STRIDE + 3, 100);
   assert.is(getNumberInForce(lost, copied), 2);
