--- a/src/daemon/daemon_core.ts
+++ b/src/daemon/daemon_core.ts
@@ -1,6 +1,6 @@
 /**
- * What a steer and an entry have in common: listeners, the control side, the
- * weights in force, and how all of it ends.
+ * Common core of steer and entry processes: HTTP servers, the control plane, the
+ * weights in force, and shutdown.
  *
  * @module
  */
@@ -18,48 +18,67 @@
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { startSteering, type Steering } from "../steering/steering.ts";
 
-/** Time between two looks whether a newer process took the place. */
+/** Interval of the check whether a newer process replaced this one, in ms. */
 const REPLACEMENT_CHECK_PERIOD_MS = 500;
 
-/** How a daemon is made. */
+/** Dependencies and settings of a daemon's core. */
 export interface DaemonCoreOptions {
   role: Role;
   settings: DaemonSettings;
   clock: Clock;
-  /** Only steers read the platform. */
+  /** Present only on steers, which read the table. */
   platform: Platform | undefined;
-  /** Routes of the peer address. */
+  /** Router of the peer address. */
   peerRouter: Polka;
 }
 
-/** The common part of a daemon that runs. */
+/** The running core of a daemon. */
 export interface DaemonCore {
   agent: ControlAgent;
   steering: Steering;
   metrics: Metrics;
-  /** Gives the address to dial for a peer's address. */
+  /**
+   * @param address A peer's address, `host:port`.
+   * @returns The address to dial for it.
+   */
   translate(address: string): string;
-  /** Opens the operator address; `dump` adds the role's own state. */
+  /**
+   * Starts to listen on the operator address.
+   *
+   * @param dump Gives the role's own state, which is added to the state dump.
+   */
   startOperatorServer(dump: () => Record<string, unknown>): Promise<void>;
-  /** Opens the callers' address once a configuration is in force. */
+  /**
+   * Waits until a configuration is in force, then starts to listen on the
+   * caller address. To be called after `startOperatorServer`.
+   *
+   * @param router Router of the caller address.
+   */
   startCallerServer(router: Polka): Promise<void>;
-  /** Makes the daemon's two ways to end. */
+  /**
+   * Creates the daemon with its graceful `stop` and its immediate `kill`. To be
+   * called after `startCallerServer`.
+   */
   makeDaemon(ending: ShutdownHooks): Daemon;
 }
 
-/** What a role adds to the end of a daemon. */
+/** Shutdown steps that depend on the role. */
 export interface ShutdownHooks {
-  /** Time in which callers and peers learn that it leaves, in ms. */
+  /**
+   * @returns Time between the announcement that the process leaves and the close
+   * of the caller address, in ms.
+   */
   getNoticeMs(): number;
-  /** Ends what the role itself started. */
+  /** Stops what the role itself started. */
   close(): Promise<void>;
 }
 
 /**
- * Starts the common part.
+ * Starts the core of a daemon and listens on the peer address.
  *
- * @param options See there.
- * @returns The running part.
+ * @param options Dependencies and settings.
+ * @returns The running core.
+ * @throws If the peer address can't be opened.
  */
 export async function startDaemonCore(
   options: DaemonCoreOptions,
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,5 +1,5 @@
 /**
- * The entry process: carries requests to backend servers.
+ * The entry process: forwards requests to backend servers.
  *
  * @module
  */
@@ -25,16 +25,20 @@
 import { createEndCheck } from "../servers/end_check.ts";
 import { startServerMonitor } from "./server_monitor.ts";
 
+/** Interval between two load reports to the steers, in ms. */
 const LOAD_REPORT_PERIOD_MS = 500;
-/** Time beyond the longest answer's life until callers have gone elsewhere. */
+/**
+ * Time after the longest TTL of a lookup answer until callers no longer use a
+ * leaving entry, in ms.
+ */
 const LEAVE_SLACK_MS = 700;
-/** Seeds are 31-bit integers. */
+/** Limits seeds of the random generator to 31 bits. */
 const SEED_MASK = 0x7fff_ffff;
 
 /**
- * Starts an entry.
+ * Starts an entry. Resolves once it accepts callers.
  *
- * @param settings Its settings.
+ * @param settings Settings of the process.
  * @param clock The clock.
  * @returns The running entry.
  */
--- a/src/entry/server_monitor.ts
+++ b/src/entry/server_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps an entry's backend servers in line with the documents, the list of VMs
- * and probes. Each server is probed by one entry of the failure domain, which
- * shares what it found.
+ * Synchronises an entry's set of backend servers with the service documents, the
+ * platform's list of VMs and probe results. Each server is probed by one entry of
+ * its failure domain, which shares the result with the others.
  *
  * @module
  */
@@ -25,10 +25,12 @@
 
 const log = createLogger("draining");
 
+/** Interval between two synchronisations with the documents, in ms. */
 const SYNC_PERIOD_MS = 250;
+/** Interval between two probes of a backend server, in ms. */
 const PROBE_PERIOD_MS = 1_000;
 
-/** What the watch needs. */
+/** Dependencies of the monitor. */
 export interface ServerMonitorOptions {
   agent: ControlAgent;
   runner: LocalRunner;
@@ -36,15 +38,19 @@
   clock: Clock;
 }
 
-/** A running watch. */
+/** A running monitor. */
 export interface ServerMonitor {
+  /** @returns State of the backend servers by service, for operators. */
   dump(): unknown;
+  /** Stops synchronising and probing. */
   close(): void;
 }
 
 /**
- * @param options See there.
- * @returns The running watch.
+ * Starts to synchronise and to probe the backend servers.
+ *
+ * @param options Dependencies.
+ * @returns The running monitor.
  */
 export function startServerMonitor(
   options: ServerMonitorOptions,
@@ -64,7 +70,7 @@
       .filter((vm) => vm.failureDomain === failureDomain)
       .map((vm) => vm.id) ?? [];
     const index = ownDomainVmIds.indexOf(vmId);
-    // A VM that the fleet document does not list has no slots to use.
+    // An entry on a VM that the fleet document doesn't list gets no slots.
     if (index < 0) return { index: 0, count: Infinity };
     return { index, count: ownDomainVmIds.length };
   }
@@ -101,7 +107,7 @@
     if (leaving === undefined) reportedDrains.delete(server.id);
     if (drainMs === undefined || reportedDrains.has(server.id)) return;
     reportedDrains.add(server.id);
-    log.info("Backend server is empty", {
+    log.info("Backend server is drained", {
       step: "drain",
       peer: server.id,
       leaving,
--- a/src/lookup/blocks.ts
+++ b/src/lookup/blocks.ts
@@ -1,5 +1,5 @@
 /**
- * The table of client blocks, packed in typed arrays: 11 bytes a range.
+ * Lookup table of client blocks, stored in typed arrays at 11 bytes per range.
  *
  * @module
  */
@@ -10,20 +10,22 @@
 export interface ClientBlock {
   /** Range in CIDR form, such as `10.1.2.0/24`. */
   block: string;
+  /** Region nearest to the client. */
   region: string;
 }
 
-/** Finds the block of a client. */
+/** Finds the block of a client address. */
 export interface BlockTable {
   /**
-   * @param client The client's address as an unsigned 32-bit number.
-   * @returns Its block, or undefined where no range holds it.
+   * @param client The client's IPv4 address as an unsigned 32-bit number.
+   * @returns Its block, or undefined where no range contains it.
    */
   find(client: number): ClientBlock | undefined;
-  /** Ranges in the table. */
+  /** Number of ranges in the table, after nested ranges are split. */
   size: number;
 }
 
+/** A range of addresses; both ends are included. */
 interface Range {
   first: number;
   last: number;
@@ -32,7 +34,8 @@
 }
 
 /**
- * Ranges may nest: the narrowest that holds a client is taken.
+ * Builds the table. Ranges may nest: the narrowest one that contains a client
+ * applies.
  *
  * @param ranges The fleet document's client blocks.
  * @returns The table.
@@ -65,7 +68,7 @@
 
 /**
  * @param ranges The fleet document's client blocks.
- * @returns Blocks that the ranges are split into.
+ * @returns Number of blocks that the ranges are split into.
  */
 export function countBlocks(ranges: FleetDocument["clientBlocks"]): number {
   return ranges.reduce((sum, { cidr, blockPrefixLength }) => {
@@ -82,7 +85,11 @@
   return { first, last: first + size - 1, blockPrefixLength, region };
 }
 
-/** Cuts wider ranges around the narrower ones that they hold. */
+/**
+ * Splits wider ranges around the narrower ones that they contain.
+ *
+ * @returns Disjoint ranges, in ascending order.
+ */
 function flattenRanges(ranges: Range[]): Range[] {
   const sorted = [...ranges].sort((a, b) =>
     a.first - b.first || b.last - a.last
@@ -115,7 +122,7 @@
   return segments;
 }
 
-/** @returns Index of the last value at most `wanted`, or -1. */
+/** @returns Index of the last value that is at most `limit`, or -1. */
 function findLastAtMost(values: Uint32Array, limit: number): number {
   let low = 0;
   let high = values.length - 1;
--- a/src/lookup/logic.ts
+++ b/src/lookup/logic.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the answer to a look-up. Pure, and the same in every steer that knows
- * the same.
+ * Computes the answer to a lookup. Pure: steers with the same input give the same
+ * answer.
  *
  * @module
  */
@@ -18,12 +18,12 @@
 import type { ClientBlock } from "./blocks.ts";
 import type { EntryChoice, LookupAnswer } from "./types.ts";
 
-/** Entries named in an answer. */
+/** Maximum number of entries in an answer. */
 export const MAX_ENTRIES = 4;
-/** An entry that uses more than this share of its slots is named last. */
+/** Entries that use more than this share of their slots are ranked last. */
 const SATURATED_UTILIZATION = 0.98;
 
-/** What an answer is made from. */
+/** Input of a lookup. */
 export interface LookupInput {
   document: ServiceDocument;
   configNumber: number;
@@ -35,15 +35,18 @@
   regionOf: RegionOf;
   /** Entries that look alive and are not leaving. */
   serving: readonly Member[];
-  /** @returns Share of its slots that an entry uses, by member id. */
+  /**
+   * @param entryId Member id of an entry.
+   * @returns Share of its slots in use.
+   */
   getUtilization(entryId: string): number;
   /** Wall-clock time, in ms since the epoch. */
   wallMs: number;
 }
 
 /**
- * @param input See there.
- * @returns The answer, or undefined where no entry can be named.
+ * @param input The client, and the documents, weights and entries in force.
+ * @returns The answer, or undefined where no entry is available.
  */
 export function answerLookup(input: LookupInput): LookupAnswer | undefined {
   const region = pickEntryRegion(input);
@@ -69,7 +72,7 @@
   };
 }
 
-/** VMs by id, of each fleet document that was in force. */
+/** Caches the VMs by id, for each fleet document. */
 const vmsByFleet = new WeakMap<FleetDocument, Map<string, EntryVm>>();
 
 function getVms(fleet: FleetDocument): Map<string, EntryVm> {
@@ -80,7 +83,7 @@
   return vms;
 }
 
-/** The client's own region while it has entries, else the nearest that has. */
+/** @returns The client's region if it has entries, else the nearest with any. */
 function pickEntryRegion(
   { client, serving, fleet }: LookupInput,
 ): string | undefined {
@@ -92,6 +95,7 @@
   )[0];
 }
 
+/** @returns One-way delay in ms; -1 for the region itself, which ranks first. */
 function getRankingDelayMs(
   fleet: FleetDocument,
   from: string,
@@ -100,7 +104,10 @@
   return from === to ? -1 : getDelayMs(fleet, from, to);
 }
 
-/** Entries where the request will run come first; full ones come last. */
+/**
+ * Ranks the entries of a region: first those in the failure domain where the
+ * request will run, last those that are saturated.
+ */
 function rankEntries(input: LookupInput, region: string): Member[] {
   const {
     document,
--- a/src/lookup/logic_test.ts
+++ b/src/lookup/logic_test.ts
@@ -11,7 +11,7 @@
 const SEED = 20261202;
 type Range = FleetDocument["clientBlocks"][number];
 
-/** The narrowest range that holds the client, by trying each. */
+/** @returns Region of the narrowest range that contains the client. */
 function findRegionNaively(
   ranges: Range[],
   client: number,
@@ -33,7 +33,7 @@
   return best?.region;
 }
 
-test("the packed table finds what a naive search finds", () => {
+test("the table finds the same ranges as a linear search", () => {
   const range = fc.record({
     address: fc.nat(0xffff),
     length: fc.integer({ min: 16, max: 30 }),
@@ -65,7 +65,7 @@
   );
 });
 
-test("a change of weights moves little more than the share it must", () => {
+test("a change of weights moves little more than the changed share", () => {
   const regionOf = new Map([["a1", "a"], ["b1", "b"], ["c1", "c"]]);
   const getRegion = (row: Record<string, number>, index: number) =>
     pickRegion({ service: "s", block: `10.0.${index}.0/24`, row, regionOf });
@@ -120,7 +120,7 @@
   };
 }
 
-test("all entries of an answer are in one region, the client's", () => {
+test("all entries of an answer are in the client's region", () => {
   const answer = answerLookup(makeInput())!;
   assert.equal(
     new Set(answer.entries.map(({ region }) => region)),
@@ -130,7 +130,7 @@
   assert.is(answer.entries[0].keyPrefix.split(".").length, 3);
 });
 
-test("the same question has the same answer in every steer", () => {
+test("the answer does not depend on the order of the entries", () => {
   const shuffled = makeInput().serving.slice().reverse();
   assert.equal(
     answerLookup(makeInput({ serving: shuffled })),
@@ -138,13 +138,13 @@
   );
 });
 
-test("without entries in its region, a client is sent to the nearest", () => {
+test("a client whose region has no entries gets those of the nearest", () => {
   const serving = [makeEntry("b1-x", "b1")];
   const answer = answerLookup(makeInput({ serving }))!;
   assert.equal(answer.entries.map(({ id }) => id), ["b1-x"]);
 });
 
-test("a full entry is named last", () => {
+test("a saturated entry is ranked last", () => {
   const first = answerLookup(makeInput())!.entries[0].id;
   const utilizationOf = (id: string) => id === `${first}/entry` ? 1 : 0;
   const { entries } = answerLookup(
--- a/src/lookup/routes.ts
+++ b/src/lookup/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' look-up address.
+ * The lookup route for callers.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { type BlockTable, createBlockTable } from "./blocks.ts";
 import { answerLookup } from "./logic.ts";
 
-/** What the routes need. */
+/** Dependencies of the lookup route. */
 export interface LookupRoutesOptions {
   agent: ControlAgent;
   steering: Steering;
@@ -22,7 +22,13 @@
   metrics: Metrics;
 }
 
-/** Keeps the table of the fleet document in force. */
+/**
+ * Creates a getter of the client block table. It rebuilds the table only when
+ * another fleet document has come into force.
+ *
+ * @param agent The control plane.
+ * @returns The getter.
+ */
 export function createBlockTableGetter(agent: ControlAgent): () => BlockTable {
   let rowVersion = -1;
   let table = createBlockTable([]);
@@ -37,10 +43,12 @@
 }
 
 /**
- * Adds `GET /v1/lookup/:service?client=IP`.
+ * Adds `GET /v1/lookup/:service?client=IP`. Without `client`, the address of the
+ * connection is looked up. Errors: 400 for an invalid address, 404 for an unknown
+ * service or client, 503 without a configuration or a live entry.
  *
- * @param router The callers' router.
- * @param options See there.
+ * @param router Router of the caller address.
+ * @param options Dependencies.
  */
 export function addLookupRoutes(
   router: Polka,
@@ -52,7 +60,7 @@
   function refuse(response: ServerResponse, status: number, detail: string) {
     sendProblem(response, {
       status,
-      title: status === 503 ? "No entry available" : "Bad look-up",
+      title: status === 503 ? "No entry available" : "Invalid lookup",
       detail,
       outcome: "not_run",
       retryAfterS: status === 503 ? 1 : undefined,
@@ -76,11 +84,11 @@
     const text = request.query.client ?? request.socket.remoteAddress ?? "";
     const address = parseIpv4(String(text).replace(/^::ffff:/, ""));
     if (address === undefined) {
-      return refuse(response, 400, `client="${text}" is not an IPv4 number`);
+      return refuse(response, 400, `client="${text}" is not an IPv4 address`);
     }
     const client = getBlockTable().find(address);
     if (client === undefined) {
-      return refuse(response, 404, `No client block holds ${text}`);
+      return refuse(response, 404, `No client block contains ${text}`);
     }
     const answer = answerLookup({
       document: inForce.document,
--- a/src/lookup/types.ts
+++ b/src/lookup/types.ts
@@ -1,35 +1,35 @@
 /**
- * Look-ups: which entries a caller should use.
+ * Types of lookups, which tell a caller the entries to use.
  *
  * @module
  */
 
 /** An entry that a caller may use. */
 export interface EntryChoice {
-  /** Id of its VM. */
+  /** Id of the entry's VM. */
   id: string;
-  /** Callers' address, `host:port`. */
+  /** Address for callers, `host:port`. */
   address: string;
   failureDomain: string;
   region: string;
-  /** Relative preference; the list is in order of preference already. */
+  /** Relative preference, in the order of the list. */
   weight: number;
-  /** Start of the idempotency keys that this entry accepts as its own. */
+  /** Prefix of the idempotency keys that this entry accepts as its own. */
   keyPrefix: string;
 }
 
-/** The answer to a look-up. */
+/** The answer to a lookup. */
 export interface LookupAnswer {
   service: string;
   /** The client's block, to be sent back with each request. */
   clientBlock: string;
   clientRegion: string;
-  /** How long the answer may be kept, in ms. */
+  /** Time for which the answer may be cached, in ms. */
   ttlMs: number;
-  /** Number of the plan in force; 0 before any. */
+  /** Number of the plan in force; 0 if there is none. */
   planNumber: number;
-  /** Number of the service document's version in force. */
+  /** Version number of the service document in force. */
   configNumber: number;
-  /** Entries, best first; the others are for when it fails. */
+  /** Entries in order of preference; the rest are fallbacks for the first. */
   entries: EntryChoice[];
 }
--- a/src/steer/steer.ts
+++ b/src/steer/steer.ts
@@ -1,6 +1,6 @@
 /**
- * The steer process: answers look-ups, reads the table for its failure domain,
- * stands as a candidate for planning.
+ * The steer process: answers lookups, reads the table for its failure domain and
+ * is a candidate for the planner.
  *
  * @module
  */
@@ -13,13 +13,13 @@
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { startPlanner } from "../steering/planner.ts";
 
-/** Time in which callers and other steers learn that this one leaves. */
+/** Time given to callers and peers to stop using a leaving steer, in ms. */
 const LEAVE_NOTICE_MS = 500;
 
 /**
- * Starts a steer.
+ * Starts a steer. Resolves once it accepts callers.
  *
- * @param settings Its settings.
+ * @param settings Settings of the process.
  * @param clock The clock.
  * @returns The running steer.
  */
