--- a/src/daemon/daemon_core.ts
+++ b/src/daemon/daemon_core.ts
@@ -132,8 +132,8 @@
       async stop() {
         agent.leave();
         for (const server of servers) server.startClosing();
-        const leaveMs = ending.getNoticeMs();
-        await pause(clock, leaveMs);
+        const noticeMs = ending.getNoticeMs();
+        await pause(clock, noticeMs);
         await callerServer.close();
         await close(ending);
       },
