--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks that a schema alone can't make: names that must exist, and promises
- * that can't all be kept.
+ * Checks beyond the schemas: unique and existing names, client ranges, and
+ * settings that contradict each other.
  *
  * @module
  */
@@ -21,15 +21,16 @@
   serviceSchema,
 } from "./schema.ts";
 
+/** A problem that is not yet located in the text. */
 interface Finding {
   path: FieldPath;
   problem: string;
 }
 
-/** A checked document and what an operator should know about it. */
-export interface Checked<T> {
+/** A valid document and the warnings about it. */
+export interface CheckedDocument<T> {
   document: T;
-  /** Conflicts that do not stop it; the safe side wins at run time. */
+  /** Contradictory settings; at run time the safer one takes precedence. */
   warnings: DocumentProblem[];
 }
 
@@ -37,18 +38,19 @@
  * Checks a service's document.
  *
  * @param source Its text and file name.
- * @param fleet The fleet it will run in; absent, names are not checked.
+ * @param fleet The fleet that it will run in; absent: names of regions and
+ * failure domains are not checked.
  * @returns The document with warnings, or all problems.
  */
 export function checkService(
   source: DocumentSource,
   fleet?: FleetDocument,
-): Result<Checked<ServiceDocument>, DocumentProblem[]> {
+): Result<CheckedDocument<ServiceDocument>, DocumentProblem[]> {
   return parseDocument(source, serviceSchema).andThen((document) => {
     const findings = [
       ...findDuplicates(document.backendServers, "backendServers"),
       ...findUnknownDrains(document),
-      ...(fleet ? findUnknownPlaces(document, fleet) : []),
+      ...(fleet ? findUnknownLocations(document, fleet) : []),
     ];
     if (findings.length > 0) {
       return err(findings.map((found) => locateProblem(source, found)));
@@ -67,12 +69,12 @@
  */
 export function checkFleet(
   source: DocumentSource,
-): Result<Checked<FleetDocument>, DocumentProblem[]> {
+): Result<CheckedDocument<FleetDocument>, DocumentProblem[]> {
   return parseDocument(source, fleetSchema).andThen((document) => {
     const findings = [
       ...findDuplicates(document.entryVms, "entryVms"),
       ...findUnknownFleetNames(document),
-      ...findBadBlocks(document),
+      ...findInvalidBlocks(document),
     ];
     if (findings.length > 0) {
       return err(findings.map((found) => locateProblem(source, found)));
@@ -87,7 +89,7 @@
     if (seen.has(id)) {
       return [{
         path: [field, index, "id"],
-        problem: `"${id}" stands twice; names must be unique`,
+        problem: `"${id}" is used more than once; names must be unique`,
       }];
     }
     seen.add(id);
@@ -96,7 +98,7 @@
 }
 
 function findUnknownDrains(document: ServiceDocument): Finding[] {
-  const known = {
+  const knownNames = {
     backendServer: new Set(document.backendServers.map(({ id }) => id)),
     failureDomain: new Set(
       document.backendServers.map(({ failureDomain }) => failureDomain),
@@ -104,60 +106,66 @@
     region: new Set(document.regions),
   };
   return document.drains.flatMap((drain, index) =>
-    known[drain.scope].has(drain.name) ? [] : [{
+    knownNames[drain.scope].has(drain.name) ? [] : [{
       path: ["drains", index, "name"],
       problem: `No ${drain.scope} is named "${drain.name}"; allowed: ${
-        [...known[drain.scope]].join(", ")
+        [...knownNames[drain.scope]].join(", ")
       }`,
     }]
   );
 }
 
-function findUnknownPlaces(
+function findUnknownLocations(
   document: ServiceDocument,
   fleet: FleetDocument,
 ): Finding[] {
-  const regions = fleet.regions.map(({ name }) => name);
-  const domains = fleet.regions.flatMap(({ failureDomains }) => failureDomains);
+  const regionNames = fleet.regions.map(({ name }) => name);
+  const domainNames = fleet.regions.flatMap(({ failureDomains }) =>
+    failureDomains
+  );
   const unknownRegions = document.regions.flatMap((name, index) =>
-    regions.includes(name) ? [] : [{
+    regionNames.includes(name) ? [] : [{
       path: ["regions", index],
-      problem: `No region is named "${name}"; allowed: ${regions.join(", ")}`,
+      problem: `No region is named "${name}"; allowed: ${
+        regionNames.join(", ")
+      }`,
     }]
   );
   const unknownDomains = document.backendServers.flatMap((server, index) =>
-    domains.includes(server.failureDomain) ? [] : [{
+    domainNames.includes(server.failureDomain) ? [] : [{
       path: ["backendServers", index, "failureDomain"],
       problem: `No failure domain is named "${server.failureDomain}"; ` +
-        `allowed: ${domains.join(", ")}`,
+        `allowed: ${domainNames.join(", ")}`,
     }]
   );
   return [...unknownRegions, ...unknownDomains];
 }
 
-/** Promises of one document that can't all be kept. */
+/** Finds settings of a document that can't all be satisfied. */
 function findConflicts(
   document: ServiceDocument,
   fleet: FleetDocument | undefined,
 ): Finding[] {
   const findings: Finding[] = [];
-  const expected = Object.values(document.expectedRequestsPerS)
+  const expectedPerS = Object.values(document.expectedRequestsPerS)
     .reduce((sum, rate) => sum + rate, 0);
-  const neededSlots = expected * document.expectedServiceMs / 1_000;
-  const keptSlots = countUndrainedSlots(document, fleet) *
+  const neededSlots = expectedPerS * document.expectedServiceMs / 1_000;
+  const availableSlots = countUndrainedSlots(document, fleet) *
     (1 - document.headroomShare);
-  if (neededSlots > keptSlots) {
+  if (neededSlots > availableSlots) {
     findings.push({
       path: ["expectedRequestsPerS"],
       problem: `Needs ${neededSlots.toFixed(0)} slots, but capacity less ` +
-        `drains and headroom is ${keptSlots.toFixed(0)}; the excess will be ` +
+        `drains and headroom is ${
+          availableSlots.toFixed(0)
+        }; the excess will be ` +
         "refused as not run",
     });
   }
   if (document.shiftCap.maxShare === 0 && document.drains.length > 0) {
     findings.push({
       path: ["shiftCap", "maxShare"],
-      problem: "A cap of 0 never lets a drained place's traffic move; " +
+      problem: "A cap of 0 prevents traffic from moving away from a drain; " +
         "it will be refused as not run",
     });
   }
@@ -180,51 +188,53 @@
 }
 
 function findUnknownFleetNames(document: FleetDocument): Finding[] {
-  const regions = document.regions.map(({ name }) => name);
-  const domains = document.regions.flatMap((region) => region.failureDomains);
+  const regionNames = document.regions.map(({ name }) => name);
+  const domainNames = document.regions.flatMap((region) =>
+    region.failureDomains
+  );
   const findings: Finding[] = [];
   document.entryVms.forEach((vm, index) => {
-    if (domains.includes(vm.failureDomain)) return;
+    if (domainNames.includes(vm.failureDomain)) return;
     findings.push({
       path: ["entryVms", index, "failureDomain"],
       problem: `No failure domain is named "${vm.failureDomain}"; allowed: ${
-        domains.join(", ")
+        domainNames.join(", ")
       }`,
     });
   });
   document.links.forEach((link, index) => {
     for (const end of ["from", "to"] as const) {
-      if (regions.includes(link[end])) continue;
+      if (regionNames.includes(link[end])) continue;
       findings.push({
         path: ["links", index, end],
         problem: `No region is named "${link[end]}"; allowed: ${
-          regions.join(", ")
+          regionNames.join(", ")
         }`,
       });
     }
   });
   document.clientBlocks.forEach((block, index) => {
-    if (regions.includes(block.region)) return;
+    if (regionNames.includes(block.region)) return;
     findings.push({
       path: ["clientBlocks", index, "region"],
       problem: `No region is named "${block.region}"; allowed: ${
-        regions.join(", ")
+        regionNames.join(", ")
       }`,
     });
   });
   return findings;
 }
 
-function findBadBlocks(document: FleetDocument): Finding[] {
+function findInvalidBlocks(document: FleetDocument): Finding[] {
   return document.clientBlocks.flatMap(({ cidr, blockPrefixLength }, index) => {
     const [address, length] = cidr.split("/");
     const prefixLength = Number(length);
-    const fits = parseIpv4(address) !== undefined && prefixLength <= 32 &&
+    const isValid = parseIpv4(address) !== undefined && prefixLength <= 32 &&
       prefixLength <= blockPrefixLength;
-    return fits ? [] : [{
+    return isValid ? [] : [{
       path: ["clientBlocks", index, "cidr"],
       problem: `"${cidr}" is not a range of /${blockPrefixLength} blocks; ` +
-        `allowed: an IPv4 number and a prefix length up to ${blockPrefixLength}`,
+        `allowed: an IPv4 address and a prefix length up to ${blockPrefixLength}`,
     }];
   });
 }
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -1,6 +1,6 @@
 /**
- * Puts documents into the table: compare-and-set from the version they were
- * edited from, and a read-back where the answer was lost.
+ * Stores documents in the table by compare-and-set against the version that they
+ * were edited from. If the response to a write is lost, the outcome is read back.
  *
  * @module
  */
@@ -15,44 +15,49 @@
   type StoredDocument,
 } from "./rows.ts";
 
-/** A document as read for editing. */
-export interface ReadDocument {
-  /** Version of the row, to be given back with a put; 0 where there is none. */
+/** The current version of a document, as read for editing. */
+export interface CurrentDocument {
+  /** Version of the row, to be passed to a put; 0 where there is no row. */
   rowVersion: number;
   stored: StoredDocument | undefined;
 }
 
-/** A put of a new version. */
-export interface PutDocument {
+/** A request to store a new version of a document. */
+export interface PutRequest {
+  /** Key of the document's row. */
   key: string;
   text: string;
   author: string;
   /** Row version that the text was edited from. */
-  editedFrom: number;
+  baseRowVersion: number;
 }
 
-/** How a put ended. */
+/** Outcome of a put. */
 export type PutOutcome =
   | { outcome: "accepted"; number: number; rowVersion: number }
-  /** Another edit came first; nothing was written. */
-  | { outcome: "race"; theirs: ReadDocument };
+  /** Another edit was stored first; nothing was written. */
+  | { outcome: "race"; theirs: CurrentDocument };
 
-/** Reads and writes documents. */
+/** Reads and stores documents. */
 export interface DocumentStore {
-  read(key: string): Promise<Result<ReadDocument, StepError>>;
-  /** @returns How it ended; an error of kind `unknown` leaves it open. */
-  put(put: PutDocument): Promise<Result<PutOutcome, StepError>>;
-  /** @returns All versions, oldest first. */
+  /** @returns The current version, or the error of the table. */
+  read(key: string): Promise<Result<CurrentDocument, StepError>>;
+  /**
+   * @returns The outcome, or an error. With an error of kind `unknown` the
+   * document may or may not have been stored.
+   */
+  put(put: PutRequest): Promise<Result<PutOutcome, StepError>>;
+  /** @returns All versions, oldest first, or the error of the table. */
   history(key: string): Promise<Result<StoredDocument[], StepError>>;
 }
 
-/** Reads that resolve a lost answer before giving up. */
-const READ_BACK_TRIES = 5;
+/** Reads of the history row before the outcome of a put counts as unknown. */
+const MAX_READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 300;
 
 /**
  * @param table The platform's table.
- * @param clock For dates and pauses.
+ * @param clock Clock for timestamps and pauses.
  * @returns The store.
  */
 export function createDocumentStore(
@@ -61,18 +66,18 @@
 ): DocumentStore {
   async function read(key: string) {
     const row = await table.read(key);
-    return row.map((found): ReadDocument => ({
+    return row.map((found): CurrentDocument => ({
       rowVersion: found.version,
       stored: parseStoredDocument(found),
     }));
   }
 
   async function put(
-    { key, text, author, editedFrom }: PutDocument,
+    { key, text, author, baseRowVersion }: PutRequest,
   ): Promise<Result<PutOutcome, StepError>> {
     const before = await read(key);
     if (before.isErr()) return err(before.error);
-    if (before.value.rowVersion !== editedFrom) {
+    if (before.value.rowVersion !== baseRowVersion) {
       return ok({ outcome: "race", theirs: before.value });
     }
     const number = (before.value.stored?.number ?? 0) + 1;
@@ -83,7 +88,7 @@
     const commit = await table.transact({
       writeId,
       conditions: [
-        { key, version: editedFrom },
+        { key, version: baseRowVersion },
         { key: historyKey, version: 0 },
       ],
       puts: [{ key, value }, { key: historyKey, value }],
@@ -100,11 +105,14 @@
     return theirs.map((document) => ({ outcome: "race", theirs: document }));
   }
 
-  /** The history row of a number is written once, by whoever won it. */
+  /**
+   * Resolves a put whose response was lost. Each history row is written once, so
+   * its write id shows which put succeeded.
+   */
   async function readBack(
     write: { key: string; historyKey: string; writeId: string; number: number },
   ): Promise<Result<PutOutcome, StepError>> {
-    for (let attempt = 0; attempt < READ_BACK_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_READ_BACK_ATTEMPTS; attempt++) {
       const row = await table.read(write.historyKey);
       if (row.isOk() && row.value.version > 0) {
         if (row.value.writeId === write.writeId) {
@@ -121,7 +129,7 @@
     }
     return err(
       new StepError(
-        "The answer was lost and the table shows no write yet; " +
+        "The table's response was lost and no write is visible yet; " +
           "read the document before putting it again",
         { step: "config.put", peer: "table", kind: "unknown" },
       ),
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -21,23 +21,23 @@
   },
 };
 
-type LostAnswer = "after" | "before";
+type LostAnswerTiming = "after" | "before";
 
-/** A table that loses the answer to the next write. */
+/** A table that loses the response to the next write, after or before it. */
 class LossyTable extends MemoryTable {
-  lose: LostAnswer | undefined;
+  loseAnswer: LostAnswerTiming | undefined;
   writes = 0;
 
   override async transact(
     transaction: Transaction,
   ): PlatformResult<TransactionResult> {
     this.writes += 1;
-    const { lose } = this;
-    this.lose = undefined;
-    const commit = lose === "before"
+    const { loseAnswer } = this;
+    this.loseAnswer = undefined;
+    const commit = loseAnswer === "before"
       ? ok<TransactionResult, StepError>({ outcome: "committed", version: 0 })
       : await super.transact(transaction);
-    if (lose === undefined) return commit;
+    if (loseAnswer === undefined) return commit;
     return err(
       new StepError("Lost", { step: "t", peer: "table", kind: "unknown" }),
     );
@@ -49,14 +49,14 @@
   return { table, store: createDocumentStore(table, instantClock) };
 }
 
-const put = (text: string, editedFrom: number) => ({
+const put = (text: string, baseRowVersion: number) => ({
   key: KEY,
   text,
   author: "ann",
-  editedFrom,
+  baseRowVersion,
 });
 
-test("two editors race: the second is refused and shown the first", async () => {
+test("concurrent edits: the second is rejected and returns the first", async () => {
   const { store } = setUp();
   const first = (await store.put(put("one", 0)))._unsafeUnwrap();
   assert.is(first.outcome, "accepted");
@@ -67,7 +67,7 @@
   }
 });
 
-test("truly simultaneous puts: one is accepted", async () => {
+test("simultaneous puts: exactly one is accepted", async () => {
   const { store } = setUp();
   const results = await Promise.all(
     ["one", "two", "three"].map((text) => store.put(put(text, 0))),
@@ -78,28 +78,28 @@
   assert.is(history.length, 1);
 });
 
-test("a lost answer after the write is resolved without writing twice", async () => {
+test("a response lost after the write is resolved without a second write", async () => {
   const { table, store } = setUp();
-  table.lose = "after";
+  table.loseAnswer = "after";
   const result = (await store.put(put("one", 0)))._unsafeUnwrap();
   assert.is(result.outcome, "accepted");
   assert.is(table.writes, 1);
   assert.is((await store.history(KEY))._unsafeUnwrap().length, 1);
 });
 
-test("a lost answer without a write is told to be unknown", async () => {
+test("a response lost without a write is reported as unknown", async () => {
   const { table, store } = setUp();
-  table.lose = "before";
+  table.loseAnswer = "before";
   const result = await store.put(put("one", 0));
   assert.is(result._unsafeUnwrapErr().kind, "unknown");
   assert.is(table.writes, 1);
 });
 
-test("a lost answer, overtaken by another edit, is still resolved", async () => {
+test("a put whose response was lost is resolved, then edited again", async () => {
   const { table, store } = setUp();
   await store.put(put("zero", 0));
   const from = (await store.read(KEY))._unsafeUnwrap().rowVersion;
-  table.lose = "after";
+  table.loseAnswer = "after";
   const pending = store.put(put("one", from));
   const result = (await pending)._unsafeUnwrap();
   assert.is(result.outcome, "accepted");
--- a/src/control/topology_test.ts
+++ b/src/control/topology_test.ts
@@ -2,7 +2,11 @@
 import { test } from "uvu";
 import type { FleetDocument } from "../config/schema.ts";
 import type { Role } from "../membership/types.ts";
-import { chooseLinks, listRelays, RELAYS_PER_DOMAIN } from "./topology.ts";
+import {
+  listPeerAddresses,
+  listRelays,
+  RELAYS_PER_DOMAIN,
+} from "./topology.ts";
 
 function makeFleet(domains: number, vmsPerDomain: number): FleetDocument {
   const entryVms = Array.from(
@@ -17,14 +21,14 @@
   return { entryVms } as unknown as FleetDocument;
 }
 
-/** @returns Links by VM id, both ways, of all steers. */
-function linkAll(fleet: FleetDocument): Map<string, Set<string>> {
+/** @returns Linked VM ids of every steer, in both directions, by VM id. */
+function connectAll(fleet: FleetDocument): Map<string, Set<string>> {
   const links = new Map(
     fleet.entryVms.map((vm) => [vm.id, new Set<string>()]),
   );
   for (const { id: vmId, failureDomain } of fleet.entryVms) {
     const self = { vmId, failureDomain, role: "steer" as Role };
-    for (const peer of chooseLinks(fleet, self)) {
+    for (const peer of listPeerAddresses(fleet, self)) {
       assert.not.ok(links.get(vmId)!.has(peer), `${vmId} and ${peer} twice`);
       links.get(vmId)!.add(peer);
       links.get(peer)!.add(vmId);
@@ -34,9 +38,9 @@
 }
 
 for (const [domains, vms] of [[2, 1], [6, 2], [6, 4], [12, 8], [87, 15]]) {
-  test(`${domains} domains of ${vms}: every relay hears every relay`, () => {
+  test(`${domains} domains of ${vms}: every relay links to every other relay`, () => {
     const fleet = makeFleet(domains, vms);
-    const links = linkAll(fleet);
+    const links = connectAll(fleet);
     const names = [...new Set(fleet.entryVms.map((vm) => vm.failureDomain))];
     const relays = names.flatMap((name) => listRelays(fleet, name));
     for (const a of relays) {
@@ -44,13 +48,16 @@
         if (a !== b) assert.ok(links.get(a.id)!.has(b.id), `${a.id} ${b.id}`);
       }
     }
-    const most = Math.max(...[...links.values()].map(({ size }) => size));
-    assert.ok(most <= vms - 1 + (domains - 1) * RELAYS_PER_DOMAIN, `${most}`);
+    const maxLinks = Math.max(...[...links.values()].map(({ size }) => size));
+    assert.ok(
+      maxLinks <= vms - 1 + (domains - 1) * RELAYS_PER_DOMAIN,
+      `${maxLinks}`,
+    );
   });
 
-  test(`${domains} domains of ${vms}: a mesh inside each domain`, () => {
+  test(`${domains} domains of ${vms}: a full mesh within each domain`, () => {
     const fleet = makeFleet(domains, vms);
-    const links = linkAll(fleet);
+    const links = connectAll(fleet);
     for (const a of fleet.entryVms) {
       for (const b of fleet.entryVms) {
         const isPair = a !== b && a.failureDomain === b.failureDomain;
@@ -67,7 +74,7 @@
     failureDomain: "domain-0",
     role: "entry" as Role,
   };
-  const links = chooseLinks(fleet, self).sort();
+  const links = listPeerAddresses(fleet, self).sort();
   assert.equal(links, ["vm-0", "vm-12", "vm-18", "vm-6"]);
 });
 
--- a/src/daemon/frame.ts
+++ b/src/daemon/daemon_core.ts
@@ -1,6 +1,6 @@
 /**
- * What a steer and an entry have in common: listeners, the control side, the
- * weights in force, and how all of it ends.
+ * Common core of steer and entry processes: HTTP servers, the control plane, the
+ * weights in force, and shutdown.
  *
  * @module
  */
@@ -18,50 +18,71 @@
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { startSteering, type Steering } from "../steering/steering.ts";
 
-/** Time between two looks whether a newer process took the place. */
-const REPLACED_PERIOD_MS = 500;
+/** Interval of the check whether a newer process replaced this one, in ms. */
+const REPLACEMENT_CHECK_PERIOD_MS = 500;
 
-/** How a daemon is made. */
-export interface FrameOptions {
+/** Dependencies and settings of a daemon's core. */
+export interface DaemonCoreOptions {
   role: Role;
   settings: DaemonSettings;
   clock: Clock;
-  /** Only steers read the platform. */
+  /** Present only on steers, which read the table. */
   platform: Platform | undefined;
-  /** Routes of the peer address. */
+  /** Router of the peer address. */
   peerRouter: Polka;
 }
 
-/** The common part of a daemon that runs. */
-export interface Frame {
+/** The running core of a daemon. */
+export interface DaemonCore {
   agent: ControlAgent;
   steering: Steering;
   metrics: Metrics;
-  /** Gives the address to dial for a peer's address. */
+  /**
+   * @param address A peer's address, `host:port`.
+   * @returns The address to dial for it.
+   */
   translate(address: string): string;
-  /** Opens the operator address; `dump` adds the role's own state. */
-  openOperator(dump: () => Record<string, unknown>): Promise<void>;
-  /** Opens the callers' address once a configuration is in force. */
-  openCallers(router: Polka): Promise<void>;
-  /** Makes the daemon's two ways to end. */
-  makeDaemon(ending: Ending): Daemon;
+  /**
+   * Starts to listen on the operator address.
+   *
+   * @param dump Gives the role's own state, which is added to the state dump.
+   */
+  startOperatorServer(dump: () => Record<string, unknown>): Promise<void>;
+  /**
+   * Waits until a configuration is in force, then starts to listen on the
+   * caller address. To be called after `startOperatorServer`.
+   *
+   * @param router Router of the caller address.
+   */
+  startCallerServer(router: Polka): Promise<void>;
+  /**
+   * Creates the daemon with its graceful `stop` and its immediate `kill`. To be
+   * called after `startCallerServer`.
+   */
+  makeDaemon(ending: ShutdownHooks): Daemon;
 }
 
-/** What a role adds to the end of a daemon. */
-export interface Ending {
-  /** Time in which callers and peers learn that it leaves, in ms. */
-  leaveMs(): number;
-  /** Ends what the role itself started. */
+/** Shutdown steps that depend on the role. */
+export interface ShutdownHooks {
+  /**
+   * @returns Time between the announcement that the process leaves and the close
+   * of the caller address, in ms.
+   */
+  getNoticeMs(): number;
+  /** Stops what the role itself started. */
   close(): Promise<void>;
 }
 
 /**
- * Starts the common part.
+ * Starts the core of a daemon and listens on the peer address.
  *
- * @param options See there.
- * @returns The running part.
+ * @param options Dependencies and settings.
+ * @returns The running core.
+ * @throws If the peer address can't be opened.
  */
-export async function startFrame(options: FrameOptions): Promise<Frame> {
+export async function startDaemonCore(
+  options: DaemonCoreOptions,
+): Promise<DaemonCore> {
   const { role, settings, clock, platform, peerRouter } = options;
   const { vmId, failureDomain, region, peerAddress } = settings;
   const statsd = settings.statsd ? splitAddress(settings.statsd) : undefined;
@@ -91,11 +112,11 @@
 
   let markReplaced: () => void = () => {};
   const replaced = new Promise<void>((resolve) => markReplaced = resolve);
-  const replacedTimer = clock.every(REPLACED_PERIOD_MS, () => {
+  const replacedTimer = clock.every(REPLACEMENT_CHECK_PERIOD_MS, () => {
     if (agent.replaced()) markReplaced();
   });
 
-  async function close(ending: Ending): Promise<void> {
+  async function close(ending: ShutdownHooks): Promise<void> {
     replacedTimer.cancel();
     await ending.close();
     steering.close();
@@ -104,15 +125,15 @@
     metrics.close();
   }
 
-  function makeDaemon(ending: Ending): Daemon {
+  function makeDaemon(ending: ShutdownHooks): Daemon {
     const callerServer = servers[servers.length - 1];
     return {
       replaced,
       async stop() {
         agent.leave();
         for (const server of servers) server.startClosing();
-        const leaveMs = ending.leaveMs();
-        await pause(clock, leaveMs);
+        const noticeMs = ending.getNoticeMs();
+        await pause(clock, noticeMs);
         await callerServer.close();
         await close(ending);
       },
@@ -128,7 +149,7 @@
     steering,
     metrics,
     translate,
-    async openOperator(dump) {
+    async startOperatorServer(dump) {
       servers.push(
         await openOperatorAddress({
           address: settings.operatorAddress,
@@ -138,7 +159,7 @@
         }),
       );
     },
-    async openCallers(router) {
+    async startCallerServer(router) {
       await agent.ready;
       servers.push(await listen(router, settings.callerAddress));
     },
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,9 +1,9 @@
 /**
- * The entry process: carries requests to backend servers.
+ * The entry process: forwards requests to backend servers.
  *
  * @module
  */
-import { startFrame } from "../daemon/frame.ts";
+import { startDaemonCore } from "../daemon/daemon_core.ts";
 import { HttpBackendClient } from "../forwarding/backend_client.ts";
 import { ExpectedLatencyChoice } from "../forwarding/choice.ts";
 import { createDeadlyRequests } from "../forwarding/deadly_requests.ts";
@@ -14,7 +14,7 @@
 import { createLocalRunner } from "../forwarding/local_runner.ts";
 import { HttpPeerClient } from "../forwarding/peer_client.ts";
 import { addCallerRoutes, addHandoverRoute } from "../forwarding/routes.ts";
-import { createBlockSource } from "../lookup/routes.ts";
+import { createBlockTableGetter } from "../lookup/routes.ts";
 import { requireKey } from "../runtime/access.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { dial } from "../runtime/dial.ts";
@@ -23,18 +23,22 @@
 import { createRandom } from "../runtime/random.ts";
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { createCrashCheck } from "../servers/crash_check.ts";
-import { startServerWatch } from "./server_watch.ts";
+import { startServerMonitor } from "./server_monitor.ts";
 
-const LOAD_PERIOD_MS = 500;
-/** Time beyond the longest answer's life until callers have gone elsewhere. */
+/** Interval between two load reports to the steers, in ms. */
+const LOAD_REPORT_PERIOD_MS = 500;
+/**
+ * Time after the longest TTL of a lookup answer until callers no longer use a
+ * leaving entry, in ms.
+ */
 const LEAVE_SLACK_MS = 700;
-/** Seeds are 31-bit integers. */
+/** Limits seeds of the random generator to 31 bits. */
 const SEED_MASK = 0x7fff_ffff;
 
 /**
- * Starts an entry.
+ * Starts an entry. Resolves once it accepts callers.
  *
- * @param settings Its settings.
+ * @param settings Settings of the process.
  * @param clock The clock.
  * @returns The running entry.
  */
@@ -44,28 +48,28 @@
 ): Promise<Daemon> {
   const peerRouter = createRouter();
   peerRouter.use(requireKey(settings.peerKey));
-  const frame = await startFrame({
+  const core = await startDaemonCore({
     role: "entry",
     settings,
     clock,
     platform: undefined,
     peerRouter,
   });
-  const { agent, steering, metrics } = frame;
+  const { agent, steering, metrics } = core;
   const random = createRandom(agent.self.incarnation & SEED_MASK);
   const backends = new HttpBackendClient();
   const policy = new ExpectedLatencyChoice(random);
-  const deadly = createDeadlyRequests(clock, createCrashCheck(dial));
+  const poisonRequests = createDeadlyRequests(clock, createCrashCheck(dial));
   const runner = createLocalRunner({
     clock,
     random,
     backends,
     policy,
-    deadly,
+    deadly: poisonRequests,
   });
-  const peers = new HttpPeerClient(settings.peerKey, frame.translate);
+  const peers = new HttpPeerClient(settings.peerKey, core.translate);
   const registry = createKeyRegistry();
-  const figures = createFigures({ self: agent.self, runner, clock, metrics });
+  const stats = createFigures({ self: agent.self, runner, clock, metrics });
   const links = createLinkLimiter();
   const flow = createFlow({
     agent,
@@ -77,21 +81,21 @@
     clock,
     random,
   });
-  const watch = startServerWatch({ agent, runner, backends, clock });
-  await frame.openOperator(() => ({
-    servers: watch.dump(),
+  const monitor = startServerMonitor({ agent, runner, backends, clock });
+  await core.startOperatorServer(() => ({
+    servers: monitor.dump(),
     keys: registry.size(),
-    outcomes: figures.counts(),
+    outcomes: stats.counts(),
   }));
-  const blocks = createBlockSource(agent);
-  const routeOptions = { agent, flow, figures, blocks, clock };
+  const blocks = createBlockTableGetter(agent);
+  const routeOptions = { agent, flow, figures: stats, blocks, clock };
   const callerRouter = createRouter();
   addHandoverRoute(peerRouter, routeOptions);
   addCallerRoutes(callerRouter, routeOptions);
-  await frame.openCallers(callerRouter);
+  await core.startCallerServer(callerRouter);
   const loadTimer = clock.every(
-    LOAD_PERIOD_MS,
-    () => agent.reportLoad(figures.read()),
+    LOAD_REPORT_PERIOD_MS,
+    () => agent.reportLoad(stats.read()),
   );
 
   function getLongestTtlMs(): number {
@@ -100,12 +104,12 @@
     return Math.max(0, ...ttls);
   }
 
-  return frame.makeDaemon({
-    leaveMs: () => getLongestTtlMs() + LEAVE_SLACK_MS,
+  return core.makeDaemon({
+    getNoticeMs: () => getLongestTtlMs() + LEAVE_SLACK_MS,
     async close() {
       loadTimer.cancel();
-      watch.close();
-      deadly.close();
+      monitor.close();
+      poisonRequests.close();
       await Promise.all([backends.close(), peers.close()]);
     },
   });
--- a/src/entry/server_watch.ts
+++ b/src/entry/server_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps an entry's backend servers in line with the documents, the list of VMs
- * and probes. Each server is probed by one entry of the failure domain, which
- * shares what it found.
+ * Synchronises an entry's set of backend servers with the service documents, the
+ * platform's list of VMs and probe results. Each server is probed by one entry of
+ * its failure domain, which shares the result with the others.
  *
  * @module
  */
@@ -25,31 +25,39 @@
 
 const log = createLogger("draining");
 
+/** Interval between two synchronisations with the documents, in ms. */
 const SYNC_PERIOD_MS = 250;
+/** Interval between two probes of a backend server, in ms. */
 const PROBE_PERIOD_MS = 1_000;
 
-/** What the watch needs. */
-export interface ServerWatchOptions {
+/** Dependencies of the monitor. */
+export interface ServerMonitorOptions {
   agent: ControlAgent;
   runner: LocalRunner;
   backends: BackendClient;
   clock: Clock;
 }
 
-/** A running watch. */
-export interface ServerWatch {
+/** A running monitor. */
+export interface ServerMonitor {
+  /** @returns State of the backend servers by service, for operators. */
   dump(): unknown;
+  /** Stops synchronising and probing. */
   close(): void;
 }
 
 /**
- * @param options See there.
- * @returns The running watch.
+ * Starts to synchronise and to probe the backend servers.
+ *
+ * @param options Dependencies.
+ * @returns The running monitor.
  */
-export function startServerWatch(options: ServerWatchOptions): ServerWatch {
+export function startServerMonitor(
+  options: ServerMonitorOptions,
+): ServerMonitor {
   const { agent, runner, backends, clock } = options;
   const { failureDomain, vmId } = agent.self;
-  const reported = new Set<string>();
+  const reportedDrains = new Set<string>();
 
   function listDocuments(): ServiceDocument[] {
     return [...agent.config().services.values()].map((inForce) =>
@@ -58,13 +66,13 @@
   }
 
   function getEntryShare(): EntryShare {
-    const own = agent.config().fleet?.document.entryVms
+    const ownDomainVmIds = agent.config().fleet?.document.entryVms
       .filter((vm) => vm.failureDomain === failureDomain)
       .map((vm) => vm.id) ?? [];
-    const index = own.indexOf(vmId);
-    // A VM that the fleet document does not list has no slots to use.
+    const index = ownDomainVmIds.indexOf(vmId);
+    // An entry on a VM that the fleet document doesn't list gets no slots.
     if (index < 0) return { index: 0, count: Infinity };
-    return { index, count: own.length };
+    return { index, count: ownDomainVmIds.length };
   }
 
   function sync(): void {
@@ -96,10 +104,10 @@
   }
 
   function reportDrain({ server, leaving, drainMs }: ServerState): void {
-    if (leaving === undefined) reported.delete(server.id);
-    if (drainMs === undefined || reported.has(server.id)) return;
-    reported.add(server.id);
-    log.info("Backend server is empty", {
+    if (leaving === undefined) reportedDrains.delete(server.id);
+    if (drainMs === undefined || reportedDrains.has(server.id)) return;
+    reportedDrains.add(server.id);
+    log.info("Backend server is drained", {
       step: "drain",
       peer: server.id,
       leaving,
@@ -111,28 +119,28 @@
     const entries = agent.serving("entry")
       .filter((member) => member.failureDomain === failureDomain)
       .map((member) => ({ id: member.id, weight: 1 }));
-    const own = listDocuments().flatMap((document) =>
+    const assignedServers = listDocuments().flatMap((document) =>
       document.backendServers.filter((server) =>
         server.failureDomain === failureDomain &&
         rankByRendezvous(`probe ${server.id}`, entries)[0]?.id === agent.self.id
       )
     );
     const reports = await Promise.all(
-      own.map((server) => backends.probe(server)),
+      assignedServers.map((server) => backends.probe(server)),
     );
     if (reports.length === 0) return;
-    takeReports(reports);
+    applyReports(reports);
     agent.reportHealth(reports);
   }
 
-  function takeReports(reports: HealthReport[]): void {
+  function applyReports(reports: HealthReport[]): void {
     const nowMs = clock.monotonicMs();
     for (const { set } of runner.lines()) {
       for (const report of reports) noteHealth(set, report, nowMs);
     }
   }
 
-  agent.onHealth(takeReports);
+  agent.onHealth(applyReports);
   agent.onRows(sync);
   const timers = [
     clock.every(SYNC_PERIOD_MS, sync),
--- a/src/load/control_cost.ts
+++ b/src/load/control_cost.ts
@@ -215,7 +215,7 @@
       key,
       text: `${current.stored!.text} `,
       author: "load",
-      editedFrom: current.rowVersion,
+      baseRowVersion: current.rowVersion,
     }))._unsafeUnwrap();
     if (result.outcome !== "accepted") continue;
     durationsMs.push(await watch.waitUntilApplied(name, result.number));
--- a/src/lookup/blocks.ts
+++ b/src/lookup/blocks.ts
@@ -1,5 +1,5 @@
 /**
- * The table of client blocks, packed in typed arrays: 11 bytes a range.
+ * Lookup table of client blocks, stored in typed arrays at 11 bytes per range.
  *
  * @module
  */
@@ -10,20 +10,22 @@
 export interface ClientBlock {
   /** Range in CIDR form, such as `10.1.2.0/24`. */
   block: string;
+  /** Region nearest to the client. */
   region: string;
 }
 
-/** Finds the block of a client. */
+/** Finds the block of a client address. */
 export interface BlockTable {
   /**
-   * @param client The client's address as an unsigned 32-bit number.
-   * @returns Its block, or undefined where no range holds it.
+   * @param client The client's IPv4 address as an unsigned 32-bit number.
+   * @returns Its block, or undefined where no range contains it.
    */
   find(client: number): ClientBlock | undefined;
-  /** Ranges in the table. */
+  /** Number of ranges in the table, after nested ranges are split. */
   size: number;
 }
 
+/** A range of addresses; both ends are included. */
 interface Range {
   first: number;
   last: number;
@@ -32,7 +34,8 @@
 }
 
 /**
- * Ranges may nest: the narrowest that holds a client is taken.
+ * Builds the table. Ranges may nest: the narrowest one that contains a client
+ * applies.
  *
  * @param ranges The fleet document's client blocks.
  * @returns The table.
@@ -40,18 +43,18 @@
 export function createBlockTable(
   ranges: FleetDocument["clientBlocks"],
 ): BlockTable {
-  const flat = flatten(ranges.map(parseRange));
-  const regions = [...new Set(flat.map(({ region }) => region))];
+  const segments = flattenRanges(ranges.map(parseRange));
+  const regions = [...new Set(segments.map(({ region }) => region))];
   const regionIndex = new Map(regions.map((name, index) => [name, index]));
-  const first = Uint32Array.from(flat, (range) => range.first);
-  const last = Uint32Array.from(flat, (range) => range.last);
-  const prefix = Uint8Array.from(flat, (range) => range.blockPrefixLength);
+  const first = Uint32Array.from(segments, (range) => range.first);
+  const last = Uint32Array.from(segments, (range) => range.last);
+  const prefix = Uint8Array.from(segments, (range) => range.blockPrefixLength);
   const region = Uint16Array.from(
-    flat,
+    segments,
     (range) => regionIndex.get(range.region)!,
   );
   return {
-    size: flat.length,
+    size: segments.length,
     find(client) {
       const index = findLastAtMost(first, client);
       if (index < 0 || client > last[index]) return undefined;
@@ -65,7 +68,7 @@
 
 /**
  * @param ranges The fleet document's client blocks.
- * @returns Blocks that the ranges are split into.
+ * @returns Number of blocks that the ranges are split into.
  */
 export function countBlocks(ranges: FleetDocument["clientBlocks"]): number {
   return ranges.reduce((sum, { cidr, blockPrefixLength }) => {
@@ -82,44 +85,50 @@
   return { first, last: first + size - 1, blockPrefixLength, region };
 }
 
-/** Cuts wider ranges around the narrower ones that they hold. */
-function flatten(ranges: Range[]): Range[] {
+/**
+ * Splits wider ranges around the narrower ones that they contain.
+ *
+ * @returns Disjoint ranges, in ascending order.
+ */
+function flattenRanges(ranges: Range[]): Range[] {
   const sorted = [...ranges].sort((a, b) =>
     a.first - b.first || b.last - a.last
   );
-  const flat: Range[] = [];
-  const open: Range[] = [];
-  let cursor = 0;
+  const segments: Range[] = [];
+  const enclosing: Range[] = [];
+  let nextFirst = 0;
 
   function emit(range: Range, last: number) {
-    if (cursor <= last) flat.push({ ...range, first: cursor, last });
-    cursor = Math.max(cursor, last + 1);
+    if (nextFirst <= last) segments.push({ ...range, first: nextFirst, last });
+    nextFirst = Math.max(nextFirst, last + 1);
   }
 
   for (const range of sorted) {
-    while (open.length > 0 && open[open.length - 1].last < range.first) {
-      const done = open.pop()!;
+    while (
+      enclosing.length > 0 && enclosing[enclosing.length - 1].last < range.first
+    ) {
+      const done = enclosing.pop()!;
       emit(done, done.last);
     }
-    const outer = open[open.length - 1];
+    const outer = enclosing[enclosing.length - 1];
     if (outer) emit(outer, range.first - 1);
-    cursor = Math.max(cursor, range.first);
-    open.push(range);
+    nextFirst = Math.max(nextFirst, range.first);
+    enclosing.push(range);
   }
-  while (open.length > 0) {
-    const done = open.pop()!;
+  while (enclosing.length > 0) {
+    const done = enclosing.pop()!;
     emit(done, done.last);
   }
-  return flat;
+  return segments;
 }
 
-/** @returns Index of the last value at most `wanted`, or -1. */
-function findLastAtMost(values: Uint32Array, wanted: number): number {
+/** @returns Index of the last value that is at most `limit`, or -1. */
+function findLastAtMost(values: Uint32Array, limit: number): number {
   let low = 0;
   let high = values.length - 1;
   while (low <= high) {
     const middle = (low + high) >>> 1;
-    if (values[middle] <= wanted) low = middle + 1;
+    if (values[middle] <= limit) low = middle + 1;
     else high = middle - 1;
   }
   return high;
--- a/src/lookup/logic.ts
+++ b/src/lookup/logic.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the answer to a look-up. Pure, and the same in every steer that knows
- * the same.
+ * Computes the answer to a lookup. Pure: steers with the same input give the same
+ * answer.
  *
  * @module
  */
@@ -18,12 +18,12 @@
 import type { ClientBlock } from "./blocks.ts";
 import type { EntryChoice, LookupAnswer } from "./types.ts";
 
-/** Entries named in an answer. */
+/** Maximum number of entries in an answer. */
 export const MAX_ENTRIES = 4;
-/** An entry that uses more than this share of its slots is named last. */
-const FULL_UTILIZATION = 0.98;
+/** Entries that use more than this share of their slots are ranked last. */
+const SATURATED_UTILIZATION = 0.98;
 
-/** What an answer is made from. */
+/** Input of a lookup. */
 export interface LookupInput {
   document: ServiceDocument;
   configNumber: number;
@@ -35,15 +35,18 @@
   regionOf: RegionOf;
   /** Entries that look alive and are not leaving. */
   serving: readonly Member[];
-  /** @returns Share of its slots that an entry uses, by member id. */
-  utilizationOf(entryId: string): number;
+  /**
+   * @param entryId Member id of an entry.
+   * @returns Share of its slots in use.
+   */
+  getUtilization(entryId: string): number;
   /** Wall-clock time, in ms since the epoch. */
   wallMs: number;
 }
 
 /**
- * @param input See there.
- * @returns The answer, or undefined where no entry can be named.
+ * @param input The client, and the documents, weights and entries in force.
+ * @returns The answer, or undefined where no entry is available.
  */
 export function answerLookup(input: LookupInput): LookupAnswer | undefined {
   const region = pickEntryRegion(input);
@@ -69,35 +72,51 @@
   };
 }
 
-/** VMs by id, of each fleet document that was in force. */
-const vmsOfFleet = new WeakMap<FleetDocument, Map<string, EntryVm>>();
+/** Caches the VMs by id, for each fleet document. */
+const vmsByFleet = new WeakMap<FleetDocument, Map<string, EntryVm>>();
 
 function getVms(fleet: FleetDocument): Map<string, EntryVm> {
-  const known = vmsOfFleet.get(fleet);
-  if (known) return known;
+  const cached = vmsByFleet.get(fleet);
+  if (cached) return cached;
   const vms = new Map(fleet.entryVms.map((vm) => [vm.id, vm]));
-  vmsOfFleet.set(fleet, vms);
+  vmsByFleet.set(fleet, vms);
   return vms;
 }
 
-/** The client's own region while it has entries, else the nearest that has. */
+/** @returns The client's region if it has entries, else the nearest with any. */
 function pickEntryRegion(
   { client, serving, fleet }: LookupInput,
 ): string | undefined {
   const regions = [...new Set(serving.map((member) => member.region))];
   return regions.sort((a, b) =>
-    distance(fleet, client.region, a) - distance(fleet, client.region, b) ||
+    getRankingDelayMs(fleet, client.region, a) -
+      getRankingDelayMs(fleet, client.region, b) ||
     a.localeCompare(b)
   )[0];
 }
 
-function distance(fleet: FleetDocument, from: string, to: string): number {
+/** @returns One-way delay in ms; -1 for the region itself, which ranks first. */
+function getRankingDelayMs(
+  fleet: FleetDocument,
+  from: string,
+  to: string,
+): number {
   return from === to ? -1 : getDelayMs(fleet, from, to);
 }
 
-/** Entries where the request will run come first; full ones come last. */
+/**
+ * Ranks the entries of a region: first those in the failure domain where the
+ * request will run, last those that are saturated.
+ */
 function rankEntries(input: LookupInput, region: string): Member[] {
-  const { document, client, row, regionOf, serving, utilizationOf } = input;
+  const {
+    document,
+    client,
+    row,
+    regionOf,
+    serving,
+    getUtilization,
+  } = input;
   const request = {
     service: document.service,
     block: client.block,
@@ -106,24 +125,24 @@
   };
   const inRegion = serving.filter((member) => member.region === region);
   const domains = [...new Set(inRegion.map((member) => member.failureDomain))];
-  const ranked = pickRegion(request) === region
+  const rankedDomains = pickRegion(request) === region
     ? rankDomains(request, domains)
     : rankByRendezvous(
       `entry ${client.block}`,
       domains.map((id) => ({ id, weight: 1 })),
     ).map(({ id }) => id);
-  const members = ranked.flatMap((domain) => {
+  const members = rankedDomains.flatMap((domain) => {
     const candidates = inRegion
       .filter((member) => member.failureDomain === domain)
       .map((member) => ({ id: member.id, weight: 1, member }));
     return rankByRendezvous(`entry ${client.block}`, candidates)
       .map(({ member }) => member);
   });
-  const isFull = (member: Member) =>
-    utilizationOf(member.id) > FULL_UTILIZATION;
+  const isSaturated = (member: Member) =>
+    getUtilization(member.id) > SATURATED_UTILIZATION;
   return [
-    ...members.filter((member) => !isFull(member)),
-    ...members.filter(isFull),
+    ...members.filter((member) => !isSaturated(member)),
+    ...members.filter(isSaturated),
   ];
 }
 
--- a/src/lookup/logic_test.ts
+++ b/src/lookup/logic_test.ts
@@ -11,8 +11,11 @@
 const SEED = 20261202;
 type Range = FleetDocument["clientBlocks"][number];
 
-/** The narrowest range that holds the client, by trying each. */
-function findNaively(ranges: Range[], client: number): string | undefined {
+/** @returns Region of the narrowest range that contains the client. */
+function findRegionNaively(
+  ranges: Range[],
+  client: number,
+): string | undefined {
   let best: Range | undefined;
   let bestLength = -1;
   for (const range of ranges) {
@@ -21,8 +24,8 @@
       .reduce((sum, part) => sum * 256 + Number(part), 0);
     const size = 2 ** (32 - Number(length));
     const start = Math.floor(first / size) * size;
-    const holds = client >= start && client < start + size;
-    if (holds && Number(length) > bestLength) {
+    const contains = client >= start && client < start + size;
+    if (contains && Number(length) > bestLength) {
       best = range;
       bestLength = Number(length);
     }
@@ -30,7 +33,7 @@
   return best?.region;
 }
 
-test("the packed table finds what a naive search finds", () => {
+test("the table finds the same ranges as a linear search", () => {
   const range = fc.record({
     address: fc.nat(0xffff),
     length: fc.integer({ min: 16, max: 30 }),
@@ -54,7 +57,7 @@
         const table = createBlockTable(ranges);
         for (const client of clients) {
           const found = table.find(client)?.region;
-          assert.is(found, findNaively(ranges, client));
+          assert.is(found, findRegionNaively(ranges, client));
         }
       },
     ),
@@ -62,16 +65,16 @@
   );
 });
 
-test("a change of weights moves little more than the share it must", () => {
+test("a change of weights moves little more than the changed share", () => {
   const regionOf = new Map([["a1", "a"], ["b1", "b"], ["c1", "c"]]);
-  const place = (row: Record<string, number>, index: number) =>
+  const getRegion = (row: Record<string, number>, index: number) =>
     pickRegion({ service: "s", block: `10.0.${index}.0/24`, row, regionOf });
   const before = { a1: 0.6, b1: 0.3, c1: 0.1 };
   const after = { a1: 0.5, b1: 0.4, c1: 0.1 };
   const count = 20_000;
   let moved = 0;
   for (let index = 0; index < count; index++) {
-    if (place(before, index) !== place(after, index)) moved += 1;
+    if (getRegion(before, index) !== getRegion(after, index)) moved += 1;
   }
   const share = moved / count;
   assert.ok(share > 0.08 && share < 0.125, `moved ${share}, must be 0.1`);
@@ -111,13 +114,13 @@
     planNumber: 2,
     regionOf: new Map([["a1", "a"], ["a2", "a"], ["b1", "b"]]),
     serving: vms.map((id) => makeEntry(id, id.slice(0, 2))),
-    utilizationOf: () => 0,
+    getUtilization: () => 0,
     wallMs: 0,
     ...changes,
   };
 }
 
-test("all entries of an answer are in one region, the client's", () => {
+test("all entries of an answer are in the client's region", () => {
   const answer = answerLookup(makeInput())!;
   assert.equal(
     new Set(answer.entries.map(({ region }) => region)),
@@ -127,7 +130,7 @@
   assert.is(answer.entries[0].keyPrefix.split(".").length, 3);
 });
 
-test("the same question has the same answer in every steer", () => {
+test("the answer does not depend on the order of the entries", () => {
   const shuffled = makeInput().serving.slice().reverse();
   assert.equal(
     answerLookup(makeInput({ serving: shuffled })),
@@ -135,16 +138,18 @@
   );
 });
 
-test("without entries in its region, a client is sent to the nearest", () => {
+test("a client whose region has no entries gets those of the nearest", () => {
   const serving = [makeEntry("b1-x", "b1")];
   const answer = answerLookup(makeInput({ serving }))!;
   assert.equal(answer.entries.map(({ id }) => id), ["b1-x"]);
 });
 
-test("a full entry is named last", () => {
+test("a saturated entry is ranked last", () => {
   const first = answerLookup(makeInput())!.entries[0].id;
   const utilizationOf = (id: string) => id === `${first}/entry` ? 1 : 0;
-  const { entries } = answerLookup(makeInput({ utilizationOf }))!;
+  const { entries } = answerLookup(
+    makeInput({ getUtilization: utilizationOf }),
+  )!;
   assert.is(entries[entries.length - 1].id, first);
 });
 
--- a/src/membership/logic.ts
+++ b/src/membership/logic.ts
@@ -1,6 +1,6 @@
 /**
- * Failure detection: heartbeats inside a failure domain, views among domains.
- * Pure: time comes in as `nowMs`, a monotonic time.
+ * Failure detection, by heartbeats within a failure domain and by views between
+ * domains. Pure: the caller passes the monotonic time as `nowMs`.
  *
  * @module
  */
@@ -13,86 +13,97 @@
   Role,
 } from "./types.ts";
 
-/** A heartbeat as it came in. */
-export interface HeardHeartbeat {
+/** A heartbeat and its sender. */
+export interface ReceivedHeartbeat {
   member: Member;
   throughVersion: number;
 }
 
 /**
- * Takes in a heartbeat.
+ * Records a heartbeat. One of an older incarnation is ignored.
  *
  * @param state Changed in place.
- * @param heard The heartbeat.
+ * @param heartbeat The heartbeat.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteHeartbeat(
+export function recordHeartbeat(
   state: MembershipState,
-  heard: HeardHeartbeat,
+  heartbeat: ReceivedHeartbeat,
   nowMs: number,
 ): void {
-  const { member, throughVersion } = heard;
-  if (noteSelfSeen(state, member)) return;
-  const known = state.direct.get(member.id);
-  if (known && known.member.incarnation > member.incarnation) return;
+  const { member, throughVersion } = heartbeat;
+  if (detectReplacement(state, member)) return;
+  const existing = state.direct.get(member.id);
+  if (existing && existing.member.incarnation > member.incarnation) return;
   state.direct.set(member.id, {
     member,
     throughVersion,
-    lastHeardMs: nowMs,
-    connected: true,
+    lastHeartbeatMs: nowMs,
+    isConnected: true,
   });
 }
 
 /**
- * Takes in that a direct link broke.
+ * Records that a direct link was lost; its peer is suspect until it is heard again.
  *
  * @param state Changed in place.
- * @param memberId Whose link it was.
+ * @param memberId Member id of the peer.
  */
-export function noteLinkClosed(state: MembershipState, memberId: string): void {
-  const known = state.direct.get(memberId);
-  if (known) known.connected = false;
+export function recordLinkClosed(
+  state: MembershipState,
+  memberId: string,
+): void {
+  const existing = state.direct.get(memberId);
+  if (existing) existing.isConnected = false;
 }
 
 /**
- * Takes in a view of a failure domain.
+ * Records a view of a failure domain, if it is newer than the known one.
  *
  * @param state Changed in place.
  * @param view The view.
  * @param nowMs Monotonic time, in ms.
- * @returns Whether it was news worth relaying.
+ * @returns Whether it was newer, and is to be relayed.
  */
-export function noteView(
+export function recordView(
   state: MembershipState,
   view: DomainView,
   nowMs: number,
 ): boolean {
-  for (const member of view.members) noteSelfSeen(state, member);
-  const known = state.views.get(view.failureDomain);
-  if (known && !isNewer(view, known.view)) return false;
+  for (const member of view.members) detectReplacement(state, member);
+  const existing = state.views.get(view.failureDomain);
+  if (existing && !isNewer(view, existing.view)) return false;
   state.views.set(view.failureDomain, { view, receivedMs: nowMs });
   return true;
 }
 
-/** One author's views go by sequence; two authors' views both count as news. */
-function isNewer(view: DomainView, known: DomainView): boolean {
-  if (view.authorId !== known.authorId) return true;
-  if (view.authorIncarnation !== known.authorIncarnation) {
-    return view.authorIncarnation > known.authorIncarnation;
+/**
+ * Views of one author are ordered by incarnation and sequence. Views of different
+ * authors can't be ordered: the last to arrive counts as newer.
+ */
+function isNewer(view: DomainView, stored: DomainView): boolean {
+  if (view.authorId !== stored.authorId) return true;
+  if (view.authorIncarnation !== stored.authorIncarnation) {
+    return view.authorIncarnation > stored.authorIncarnation;
   }
-  return view.sequence > known.sequence;
+  return view.sequence > stored.sequence;
 }
 
-function noteSelfSeen(state: MembershipState, member: Member): boolean {
+/**
+ * Detects that a newer process has taken this one's member id.
+ *
+ * @returns Whether the member has this process's id.
+ */
+function detectReplacement(state: MembershipState, member: Member): boolean {
   if (member.id !== state.self.id) return false;
   if (member.incarnation > state.self.incarnation) state.replaced = true;
   return true;
 }
 
 /**
- * Makes this process's view of its own failure domain.
+ * Creates this process's view of its own failure domain.
  *
- * @param state Changed in place: the sequence rises.
+ * @param state Changed in place: its sequence is incremented.
  * @param throughVersion Version that this process has in force.
  * @param nowMs Monotonic time, in ms.
  * @returns The view to send.
@@ -105,7 +116,7 @@
   state.ownSequence += 1;
   const alive = [...state.direct.values()].filter((peer) =>
     peer.member.failureDomain === state.self.failureDomain &&
-    judgePeer(state, peer, nowMs) === "alive"
+    assessPeer(state, peer, nowMs) === "alive"
   );
   const versions = alive.map((peer) => peer.throughVersion);
   return {
@@ -113,7 +124,7 @@
     authorId: state.self.id,
     authorIncarnation: state.self.incarnation,
     sequence: state.ownSequence,
-    // In one order for all authors, so that equal members read alike.
+    // The same order for all authors, so that equal lists have equal JSON.
     members: [state.self, ...alive.map((peer) => peer.member)]
       .sort((a, b) => a.id < b.id ? -1 : 1),
     lowestVersion: Math.min(throughVersion, ...versions),
@@ -122,9 +133,9 @@
 }
 
 /**
- * @param state What is known.
+ * @param state The local view of the fleet.
  * @param nowMs Monotonic time, in ms.
- * @returns Every known process, this one included, and how alive it looks.
+ * @returns Every known process, this one included, and its liveness.
  */
 export function observeMembers(
   state: MembershipState,
@@ -132,16 +143,16 @@
 ): ObservedMember[] {
   const observed = new Map<string, ObservedMember>();
   for (const { view, receivedMs } of state.views.values()) {
-    const fresh = nowMs - receivedMs < state.times.viewExpiryMs;
+    const isFresh = nowMs - receivedMs < state.timings.viewExpiryMs;
     for (const member of view.members) {
-      const liveness = fresh ? "alive" : "unreachable";
+      const liveness = isFresh ? "alive" : "unreachable";
       observed.set(member.id, { member, liveness });
     }
   }
   for (const peer of state.direct.values()) {
     observed.set(peer.member.id, {
       member: peer.member,
-      liveness: judgePeer(state, peer, nowMs),
+      liveness: assessPeer(state, peer, nowMs),
     });
   }
   observed.set(state.self.id, { member: state.self, liveness: "alive" });
@@ -149,8 +160,8 @@
 }
 
 /**
- * @param state What is known.
- * @param role The role wanted.
+ * @param state The local view of the fleet.
+ * @param role The role to list.
  * @param nowMs Monotonic time, in ms.
  * @returns Members of that role that look alive and are not leaving.
  */
@@ -167,13 +178,13 @@
     .map(({ member }) => member);
 }
 
-function judgePeer(
+function assessPeer(
   state: MembershipState,
   peer: DirectPeer,
   nowMs: number,
 ): Liveness {
-  const silenceMs = nowMs - peer.lastHeardMs;
-  if (silenceMs >= state.times.deadAfterMs) return "dead";
-  if (silenceMs >= state.times.suspectAfterMs) return "suspect";
-  return peer.connected ? "alive" : "suspect";
+  const silenceMs = nowMs - peer.lastHeartbeatMs;
+  if (silenceMs >= state.timings.deadAfterMs) return "dead";
+  if (silenceMs >= state.timings.suspectAfterMs) return "suspect";
+  return peer.isConnected ? "alive" : "suspect";
 }
--- a/src/steer/steer.ts
+++ b/src/steer/steer.ts
@@ -1,10 +1,10 @@
 /**
- * The steer process: answers look-ups, reads the table for its failure domain,
- * stands as a candidate for planning.
+ * The steer process: answers lookups, reads the table for its failure domain and
+ * is a candidate for the planner.
  *
  * @module
  */
-import { startFrame } from "../daemon/frame.ts";
+import { startDaemonCore } from "../daemon/daemon_core.ts";
 import { addLookupRoutes } from "../lookup/routes.ts";
 import { createPlatformClient } from "../platform/http_client.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -13,13 +13,13 @@
 import type { DaemonSettings } from "../runtime/settings.ts";
 import { startPlanner } from "../steering/planner.ts";
 
-/** Time in which callers and other steers learn that this one leaves. */
-const LEAVE_MS = 500;
+/** Time given to callers and peers to stop using a leaving steer, in ms. */
+const LEAVE_NOTICE_MS = 500;
 
 /**
- * Starts a steer.
+ * Starts a steer. Resolves once it accepts callers.
  *
- * @param settings Its settings.
+ * @param settings Settings of the process.
  * @param clock The clock.
  * @returns The running steer.
  */
@@ -28,21 +28,21 @@
   clock: Clock,
 ): Promise<Daemon> {
   const platform = createPlatformClient(settings.platformUrl);
-  const frame = await startFrame({
+  const core = await startDaemonCore({
     role: "steer",
     settings,
     clock,
     platform,
     peerRouter: createRouter(),
   });
-  const { agent, steering, metrics } = frame;
+  const { agent, steering, metrics } = core;
   const planner = startPlanner({ agent, platform, clock, metrics });
-  await frame.openOperator(() => ({ planner: planner.dump() }));
+  await core.startOperatorServer(() => ({ planner: planner.dump() }));
   const router = createRouter();
   addLookupRoutes(router, { agent, steering, clock, metrics });
-  await frame.openCallers(router);
-  return frame.makeDaemon({
-    leaveMs: () => LEAVE_MS,
+  await core.startCallerServer(router);
+  return core.makeDaemon({
+    getNoticeMs: () => LEAVE_NOTICE_MS,
     async close() {
       planner.close();
       await platform.close();
