--- a/src/control/dialer.ts
+++ b/src/control/dialer.ts
@@ -6,7 +6,7 @@
 import {
   type DialedLink,
   type DialOptions,
-  keepLink,
+  maintainLink,
 } from "../runtime/peer_link.ts";
 import type { PeerMessage } from "./messages.ts";
 
@@ -40,7 +40,7 @@
       }
       for (const address of wanted) {
         if (dialed.has(address)) continue;
-        dialed.set(address, keepLink(translate(address), options));
+        dialed.set(address, maintainLink(translate(address), options));
       }
     },
     close() {
--- a/src/deployment/whole_path_test.ts
+++ b/src/deployment/whole_path_test.ts
@@ -5,7 +5,7 @@
 import type { Call, CallResult } from "../caller/types.ts";
 import { getServiceKey } from "../config/rows.ts";
 import { peerMessageSchema } from "../control/messages.ts";
-import { keepLink } from "../runtime/peer_link.ts";
+import { maintainLink } from "../runtime/peer_link.ts";
 import { createSystemClock } from "../runtime/clock.ts";
 import { daemonSettingsSchema } from "../runtime/settings.ts";
 import { PLATFORM } from "./generate.ts";
@@ -189,7 +189,7 @@
     .find(({ name }) => name === `entry-${vmId}`)!;
   const settings = daemonSettingsSchema.parse(made.settings);
   const { failureDomain, region } = settings;
-  return keepLink(settings.seeds[1], {
+  return maintainLink(settings.seeds[1], {
     key: settings.peerKey,
     clock,
     schema: peerMessageSchema,
--- a/src/gateway/control_routes.ts
+++ b/src/gateway/control_routes.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness, directory, metrics and state dump.
+ * HTTP endpoints for readiness, the directory, metrics and the state dump.
  *
  * @module
  */
@@ -20,23 +20,28 @@
 import type { ServingMetrics } from "../telemetry/metrics.ts";
 import type { GatewaySettings } from "./settings.ts";
 
-/** Paths and formats of a deployment. */
+/** Paths and formats that the deployment defines. */
 export interface ControlPaths {
   readiness: string;
   directory: string;
-  /** Query parameter of the directory call that names the client's region. */
+  /** Query parameter of directory requests with the region of the client. */
   regionParameter: string;
-  /** @returns The body of a directory answer. */
+  /**
+   * @param answer The answer.
+   * @returns The body of the response, to be sent as JSON.
+   */
   encodeDirectory: (answer: DirectoryAnswer) => unknown;
 }
 
-/** What the control addresses need. */
-export interface ControlParts {
+/** Dependencies of the control servers. */
+export interface ControlOptions {
   settings: GatewaySettings;
   paths: ControlPaths;
   metrics: ServingMetrics;
+  /** @returns Whether this VM serves requests. */
   isReady: () => boolean;
   getDirectoryView: () => DirectoryView;
+  /** @returns The state as plain values. */
   dumpState: () => unknown;
 }
 
@@ -44,42 +49,45 @@
 const STATE_PATH = "/state";
 
 /**
- * Opens the control addresses.
+ * Starts the control servers.
  *
- * @param parts What they need.
+ * @param options Dependencies of the servers.
  * @returns The listening servers.
+ * @throws StepError of kind `invalid` where an address can't be bound.
  */
-export function serveControl(parts: ControlParts): Promise<HttpServer[]> {
-  const { settings, paths, metrics } = parts;
-  const readiness = createRouter();
-  readiness.get(paths.readiness, (_request, response) => {
-    endEmpty(response, parts.isReady() ? 200 : 503);
+export function startControlServers(
+  options: ControlOptions,
+): Promise<HttpServer[]> {
+  const { settings, paths, metrics } = options;
+  const readinessRouter = createRouter();
+  readinessRouter.get(paths.readiness, (_request, response) => {
+    sendEmpty(response, options.isReady() ? 200 : 503);
   });
-  const directory = createRouter();
-  directory.get(paths.directory, (request, response) => {
+  const directoryRouter = createRouter();
+  directoryRouter.get(paths.directory, (request, response) => {
     const region = getQuery(request, paths.regionParameter) ??
       settings.region;
-    const answer = answerDirectory(parts.getDirectoryView(), region);
-    if (answer === undefined) return endEmpty(response, 503);
+    const answer = answerDirectory(options.getDirectoryView(), region);
+    if (answer === undefined) return sendEmpty(response, 503);
     sendJson(response, paths.encodeDirectory(answer));
   });
-  const figures = createRouter();
-  figures.get(METRICS_PATH, async (_request, response) => {
+  const metricsRouter = createRouter();
+  metricsRouter.get(METRICS_PATH, async (_request, response) => {
     const text = await metrics.render();
     response.writeHead(200, { "content-type": metrics.contentType });
     response.end(text);
   });
-  figures.get(STATE_PATH, (_request, response) => {
-    sendJson(response, parts.dumpState());
+  metricsRouter.get(STATE_PATH, (_request, response) => {
+    sendJson(response, options.dumpState());
   });
   return Promise.all([
-    listen(readiness, formatAddress(settings.readinessAddress)),
-    listen(directory, formatAddress(settings.directoryAddress)),
-    listen(figures, formatAddress(settings.metricsAddress)),
+    listen(readinessRouter, formatAddress(settings.readinessAddress)),
+    listen(directoryRouter, formatAddress(settings.directoryAddress)),
+    listen(metricsRouter, formatAddress(settings.metricsAddress)),
   ]);
 }
 
-function endEmpty(response: ServerResponse, status: number): void {
+function sendEmpty(response: ServerResponse, status: number): void {
   response.writeHead(status, { "content-length": 0 });
   response.end();
 }
--- a/src/gateway/core.ts
+++ b/src/gateway/core.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway decides with: facts, servers, placement and the flow of
- * requests, without any address that listens.
+ * The decision logic of a gateway: facts, servers, placement and the handling
+ * of requests, without any listening socket.
  *
  * @module
  */
@@ -63,83 +63,103 @@
 import { createServerLimits, type ServerLimits } from "./server_limits.ts";
 import type { GatewaySettings } from "./settings.ts";
 
-/** What a core is built from. */
-export interface CoreParts {
+/** Dependencies of a core. */
+export interface CoreOptions {
   settings: GatewaySettings;
   clock: Clock;
   log: Log;
   codec: WireCodec;
   self: VmIdentity;
-  table: MemberTable;
+  memberTable: MemberTable;
   vms: VmViews;
-  memory: ObjectCacheModel;
+  cacheModel: ObjectCacheModel;
   running: RunningRequests;
-  board: FactStore;
-  knowledge: FreshnessTracker;
-  /** Demand by region where hubs tell of it. */
+  factStore: FactStore;
+  freshness: FreshnessTracker;
+  /** @returns Demand by region as reported by hubs; undefined without hubs. */
   getFleetDemand: () => DemandByRegion | undefined;
-  /** Passes facts of this VM on to all others. */
-  passOn: (items: FactUpdate[]) => void;
+  /**
+   * Sends facts of this VM to all other VMs.
+   *
+   * @param items The facts.
+   */
+  broadcastFacts: (items: FactUpdate[]) => void;
 }
 
-/** The deciding parts of a gateway. */
+/** The components that decide how requests are served. */
 export interface Core {
   registry: ServerRegistry;
   exchange: Exchange;
-  demand: DemandMeter;
-  flow: RequestHandler;
+  demandMeter: DemandMeter;
+  requestHandler: RequestHandler;
   callerCheck: CallerCheck;
   limiter: RateLimiter;
-  limitPool: LimitShares;
+  limitShares: LimitShares;
   suspects: SuspectTracker;
   serverLimits: ServerLimits;
-  /** @returns Routes in force; undefined before the first configuration. */
+  /** @returns The current routes; undefined before the first configuration. */
   getRoutes(): RouteTable | undefined;
 }
 
 const MAX_RANDOM_SEED = 0x7fff_ffff;
 
 /**
- * @param parts What the core is built from.
- * @returns A core that follows the board's facts.
+ * Creates the core and subscribes it to the fact store.
+ *
+ * @param options Dependencies of the core.
+ * @returns The core.
  */
-export function createCore(parts: CoreParts): Core {
-  const { settings, clock, log, codec, self, table, vms, board, memory } =
-    parts;
+export function createCore(options: CoreOptions): Core {
+  const {
+    settings,
+    clock,
+    log,
+    codec,
+    self,
+    memberTable,
+    vms,
+    factStore,
+    cacheModel,
+  } = options;
   let routes: RouteTable | undefined;
-  const getTerms = (service: string) => routes?.getServiceSettings(service);
-  const demand = createDemandMeter(clock);
+  const getServiceSettings = (service: string) =>
+    routes?.getServiceSettings(service);
+  const demandMeter = createDemandMeter(clock);
   const runTimes = createRunTimes();
   const random = createRandom(makeSeed(self));
-  const countKnown = () => table.countKnown() + 1;
+  const countKnownVms = () => memberTable.countKnown() + 1;
   const serverLimits = createServerLimits({
     clock,
     log,
     random,
     ownId: self.id,
-    countKnown,
+    countKnownVms,
     runTimes,
   });
   const { permits, rateLimits, backoffs } = serverLimits;
-  const retention = createCacheSizeEstimator();
+  const cacheSizeEstimator = createCacheSizeEstimator();
   const registry = createServerRegistry({
     clock,
     log,
     regions: settings.regions,
-    getColdDurationMs: (service) => getTerms(service)?.coldDurationMs ?? 0,
-    running: parts.running,
+    getColdDurationMs: (service) =>
+      getServiceSettings(service)?.coldDurationMs ?? 0,
+    running: options.running,
     runTimes,
   });
   const exchange = createExchange(codec, getConnectionLimit);
 
   function getConnectionLimit(server: ListedServer): number {
-    return computeConnectionLimit(getTerms(server.service)?.maxConnections, {
-      serving: vms.countServing(),
-      known: countKnown(),
-    });
+    return computeConnectionLimit(
+      getServiceSettings(server.service)?.maxConnections,
+      {
+        serving: vms.countServing(),
+        known: countKnownVms(),
+      },
+    );
   }
 
-  function takeConfiguration(
+  function applyConfiguration(
     configuration: Configuration,
     source: FactVersion,
   ): void {
@@ -151,76 +171,82 @@
     );
   }
 
-  board.subscribe((item, previous) => {
-    if (item.fact?.kind === "configuration") {
-      takeConfiguration(item.fact.configuration, item.version);
+  factStore.subscribe((update, previous) => {
+    if (update.fact?.kind === "configuration") {
+      applyConfiguration(update.fact.configuration, update.version);
     }
-    registry.apply(item);
-    if (previous?.kind === "server" && !isSameStart(previous.server, item)) {
+    registry.apply(update);
+    if (
+      previous?.kind === "server" && !isSameInstance(previous.server, update)
+    ) {
       exchange.closePool(previous.server.id);
     }
   });
 
-  const figures = createRegionStatsReader({
+  const regionStats = createRegionStatsReader({
     ownRegion: self.region,
     regions: settings.regions,
     registry,
-    table,
+    table: memberTable,
     demandSmoother: createDemandSmoother(clock),
     getSlots: permits.getEffectiveSlots,
-    getOwnDemand: demand.getRates,
-    getFleetDemand: parts.getFleetDemand,
+    getOwnDemand: demandMeter.getRates,
+    getFleetDemand: options.getFleetDemand,
   });
-  const plan = createRegionPlan({
+  const regionPlan = createRegionPlan({
     clock,
     log,
     ownRegion: self.region,
-    getStats: figures.read,
-    getRequestsPerS: figures.getRequestsPerS,
+    getStats: regionStats.read,
+    getRequestsPerS: regionStats.getRequestsPerS,
     maxShift: settings.bounds.maxShift,
   });
-  const terms = {
+  const retryBudgetSettings = {
     ratio: settings.bounds.retryRatio,
     allowance: settings.bounds.retryAllowance,
   };
-  const budget = createRetryBudget(terms, vms.countServing, self.id);
-  const pace = createLatencyModel();
+  const budget = createRetryBudget(
+    retryBudgetSettings,
+    vms.countServing,
+    self.id,
+  );
+  const latencyModel = createLatencyModel();
   const suspects = createSuspectTracker({
     clock,
     log,
     ownId: self.id,
     quarantineSettings: settings.quarantine,
     publish(items) {
-      const news = board.apply(items);
-      if (news.length > 0) parts.passOn(news);
+      const updates = factStore.apply(items);
+      if (updates.length > 0) options.broadcastFacts(updates);
     },
-    forget: (items) => void board.apply(items),
+    forget: (items) => void factStore.apply(items),
   });
-  board.subscribe(suspects.apply);
+  factStore.subscribe(suspects.apply);
   const placer = createPlacer({
     clock,
     log,
     registry,
     ranking: createRanking(registry),
-    plan,
+    plan: regionPlan,
     coldLimit: createColdLimit({
       clock,
       ownId: self.id,
       listVms: vms.listServingIds,
     }),
     permits,
-    latencyModel: pace,
-    cacheModel: memory,
-    cacheSizeEstimator: retention,
-    getServiceSettings: getTerms,
+    latencyModel,
+    cacheModel,
+    cacheSizeEstimator,
+    getServiceSettings,
   });
-  const limitPool = createLimitShares(clock, countKnown);
+  const limitShares = createLimitShares(clock, countKnownVms);
   const limiter = new SharedUsageLimiter({
     clock,
     random,
-    getShare: limitPool.getShare,
-    getOwnShare: limitPool.getOwnShare,
-    getStableMs: limitPool.getStableMs,
+    getShare: limitShares.getShare,
+    getOwnShare: limitShares.getOwnShare,
+    getStableMs: limitShares.getStableMs,
     margin: settings.accounts.limitMargin,
     findSubject: (name) => routes?.accounts?.get(name),
   });
@@ -229,9 +255,9 @@
     random,
     bounds: settings.accounts,
     limiter,
-    getKnowledgeAgeMs: parts.knowledge.getAgeMs,
+    getKnowledgeAgeMs: options.freshness.getAgeMs,
   });
-  const flow = createRequestHandler({
+  const requestHandler = createRequestHandler({
     clock,
     log,
     random,
@@ -240,9 +266,9 @@
     observer: createAttemptObserver({
       clock,
       log,
-      latencyModel: pace,
-      cacheModel: memory,
-      cacheSizeEstimator: retention,
+      latencyModel,
+      cacheModel,
+      cacheSizeEstimator,
       runTimes,
       rateLimits,
       backoffs,
@@ -250,9 +276,9 @@
     }),
     budget,
     splitter: createSplitter(),
-    demand,
-    latencyModel: pace,
-    cacheModel: memory,
+    demand: demandMeter,
+    latencyModel,
+    cacheModel,
     exchange,
     crashCheck: createCrashCheck(dial),
     suspects,
@@ -263,23 +289,23 @@
   return {
     registry,
     exchange,
-    demand,
-    flow,
+    demandMeter,
+    requestHandler,
     callerCheck,
     limiter,
-    limitPool,
+    limitShares,
     suspects,
     serverLimits,
     getRoutes: () => routes,
   };
 }
 
-/** Whether news of a server are of the start that was listed before. */
-function isSameStart(before: ListedServer, { fact }: FactUpdate): boolean {
-  return fact?.kind === "server" && fact.server.id === before.id;
+/** Whether an update is about the server instance that was listed before. */
+function isSameInstance(previous: ListedServer, { fact }: FactUpdate): boolean {
+  return fact?.kind === "server" && fact.server.id === previous.id;
 }
 
-/** VMs that start at the same moment must not draw the same numbers. */
+/** VMs that start at the same time must not use the same random numbers. */
 function makeSeed({ id, incarnation }: VmIdentity): number {
   return Math.floor(hashToUnit(`${id} ${incarnation}`) * MAX_RANDOM_SEED);
 }
--- a/src/gateway/fixture.ts
+++ b/src/gateway/fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Configurations and servers for tests.
+ * Test fixtures: configurations, servers, VMs and fact updates.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import { createSilentLog } from "../telemetry/log.ts";
 
 /**
- * @param changes Fields that differ from a plain idempotent route.
+ * @param changes Fields that differ from the default, an idempotent route.
  * @returns The route.
  */
 export function makeRoute(changes: Partial<Route> = {}): Route {
@@ -40,8 +40,8 @@
 }
 
 /**
- * @param routes Its routes.
- * @param version Its version.
+ * @param routes Routes of the configuration.
+ * @param version Version of the configuration.
  * @returns A configuration with the service `s`.
  */
 export function makeConfiguration(
@@ -67,8 +67,9 @@
 }
 
 /**
- * @param id Its id.
- * @param changes Fields that differ from a warm, ready server of `s`.
+ * @param id Id of the server.
+ * @param changes Fields that differ from the default, a warm, ready server of
+ *   the service `s`.
  * @returns The server.
  */
 export function makeServer(
@@ -90,11 +91,11 @@
 
 /**
  * @param server A listed server.
- * @param version Number of the news.
- * @param epoch Its epoch.
- * @returns The news that it is listed.
+ * @param version Version number of the update.
+ * @param epoch Epoch of the update.
+ * @returns The update that lists the server.
  */
-export function makeServerNews(
+export function makeServerUpdate(
   server: ListedServer,
   version: number,
   epoch = 0,
@@ -108,12 +109,12 @@
 }
 
 /**
- * @param configuration Number of the configuration, which has one route.
- * @param version Number of the news.
- * @param epoch Its epoch.
- * @returns The news that it is the newest.
+ * @param configuration Version of the configuration, which has one route.
+ * @param version Version number of the update.
+ * @param epoch Epoch of the update.
+ * @returns The update with the configuration.
  */
-export function makeConfigurationNews(
+export function makeConfigurationUpdate(
   configuration: number,
   version: number,
   epoch = 0,
@@ -130,9 +131,10 @@
 }
 
 /**
- * @param id Its name.
- * @param changes Fields that differ from a VM of one core in oslo.
- * @returns How the VM is reached.
+ * @param id Id of the VM.
+ * @param changes Fields that differ from the default, a VM with one core in
+ *   `oslo`.
+ * @returns The identity of the VM.
  */
 export function makeVmIdentity(
   id: string,
@@ -150,7 +152,7 @@
   };
 }
 
-/** Regions of the failure domains in tests. */
+/** Regions by failure domain, for tests. */
 export const TEST_REGIONS: ReadonlyMap<string, string> = new Map([
   ["oslo-a", "oslo"],
   ["oslo-b", "oslo"],
@@ -159,9 +161,9 @@
 
 /**
  * @param clock The clock.
- * @param runTimes How long requests last.
- * @returns A registry without servers, in the regions of tests, to which no
- *   other VM tells anything.
+ * @param runTimes Run times of requests.
+ * @returns A registry without servers, with the test regions, that receives
+ *   nothing from other VMs.
  */
 export function makeRegistry(
   clock: Clock,
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway: one process on each VM that answers clients' directory calls
- * and carries their requests to backend servers.
+ * The gateway: the process on each VM that answers directory requests of
+ * clients and forwards their requests to backend servers.
  *
  * @module
  */
@@ -39,12 +39,12 @@
 import { formatAddress } from "../runtime/address.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
-import { watchOverload } from "../runtime/overload.ts";
+import { startOverloadMonitor } from "../runtime/overload.ts";
 import type { Stoppable } from "../runtime/process.ts";
 import { startFrontServer } from "../serving/front_server.ts";
 import type { WireCodec } from "../serving/types.ts";
 import type { Log } from "../telemetry/log.ts";
-import { type ControlPaths, serveControl } from "./control_routes.ts";
+import { type ControlPaths, startControlServers } from "./control_routes.ts";
 import { createCore } from "./core.ts";
 import { createGatewayMetrics } from "./gauges.ts";
 import { leave } from "./leave.ts";
@@ -52,78 +52,82 @@
 import type { GatewaySettings } from "./settings.ts";
 import { dumpState } from "./state_dump.ts";
 
-/** What a gateway is built from. */
-export interface GatewayParts {
+/** Dependencies of a gateway. */
+export interface GatewayOptions {
   settings: GatewaySettings;
   clock: Clock;
   log: Log;
   source: FactSource;
-  register: VmRegistry;
+  vmRegistry: VmRegistry;
   codec: WireCodec;
   paths: ControlPaths;
 }
 
 /**
- * How long clients use a directory answer. Some use it three times as long,
- * which has to pass before a VM that leaves stops taking connections; that
- * leaves a second of the shortest time to stop (6 s) for running requests.
+ * Time for which clients may use a directory answer. Some use it three times as
+ * long, and a leaving VM has to accept connections until then. Of the shortest
+ * shutdown time (6 s), that leaves one second for requests in progress.
  */
 const DIRECTORY_TTL_MS = 1_500;
 /**
- * Requests that last less are over before others have heard of them: telling of
- * runs of 94 ms gained nothing and took a sixth more processor time.
+ * Shorter requests are not reported to other VMs, since they end before the
+ * report arrives: reporting requests of 94 ms had no benefit and took a sixth
+ * more processor time.
  */
-const MIN_TOLD_RUN_MS = 400;
+const MIN_REPORTED_RUN_MS = 400;
 /**
- * How often a VM that starts looks whether it can serve: clients are sent to it
- * only once it said so.
+ * Interval at which a starting VM checks whether it can serve. Clients are
+ * directed to it only after it reported so.
  */
-const START_CHECK_MS = 50;
+const START_CHECK_INTERVAL_MS = 50;
 
 /**
  * Starts a gateway.
  *
- * @param parts What it is built from.
+ * @param options Dependencies of the gateway.
  * @returns The running gateway.
+ * @throws StepError of kind `invalid` where an address can't be bound.
  */
-export async function startGateway(parts: GatewayParts): Promise<Stoppable> {
-  const { settings, clock, log, codec } = parts;
+export async function startGateway(
+  options: GatewayOptions,
+): Promise<Stoppable> {
+  const { settings, clock, log, codec } = options;
   const startedAtMs = clock.monotonicMs();
   const self = makeIdentity(settings, clock);
-  const table = createMemberTable(self.id, clock);
-  const board = createFactStore(clock);
-  const knowledge = createFreshnessTracker({
+  const memberTable = createMemberTable(self.id, clock);
+  const factStore = createFactStore(clock);
+  const freshness = createFreshnessTracker({
     clock,
-    getVersion: () => getConfigurationNumber(board),
+    getVersion: () => getConfigurationVersion(factStore),
   });
-  const vms = createVmViews(self, table);
-  const memory = createObjectCacheModel();
-  const running = createRunningRequests(clock);
+  const vms = createVmViews(self, memberTable);
+  const cacheModel = createObjectCacheModel();
+  const runningRequests = createRunningRequests(clock);
   const core = createCore({
-    ...parts,
+    ...options,
     self,
-    table,
+    memberTable,
     vms,
-    memory,
-    running,
-    board,
-    knowledge,
+    cacheModel,
+    running: runningRequests,
+    factStore,
+    freshness,
     getFleetDemand: () => mesh.getDemand(),
-    passOn: (items) => mesh.broadcastFacts(items),
+    broadcastFacts: (items) => mesh.broadcastFacts(items),
   });
   const metrics = createGatewayMetrics(
     core,
-    board,
-    knowledge,
+    factStore,
+    freshness,
     vms.countServing,
   );
   const ttlMs = Math.min(DIRECTORY_TTL_MS, settings.bounds.maxTtlMs);
   let state: VmState = "starting";
 
-  /** Serves once it knows routes and has heard of servers. */
+  /** Changes from starting to serving once routes and servers are known. */
   function updateState(): VmState {
     const version = core.getRoutes()?.configuration.version;
-    const knowsServers = board.getAgeMs("servers") < Infinity;
+    const knowsServers = factStore.getAgeMs("servers") < Infinity;
     if (state === "starting" && version !== undefined && knowsServers) {
       state = "serving";
       log.info({ version }, "serving");
@@ -131,39 +135,45 @@
     return state;
   }
 
-  const overload = watchOverload(clock, (isOverloaded, use) => {
-    log.warn({ isOverloaded, use }, "processor time");
-  });
+  const overloadMonitor = startOverloadMonitor(
+    clock,
+    (isOverloaded, utilization) => {
+      log.warn(
+        { isOverloaded, use: utilization },
+        "event loop overload changed",
+      );
+    },
+  );
 
-  const peers = await listen(
+  const peerServer = await listen(
     createRouter(),
     formatAddress(settings.peerAddress),
   );
   const mesh = startMesh({
     self,
-    table,
-    factStore: board,
-    knowledge,
+    table: memberTable,
+    factStore,
+    knowledge: freshness,
     needsProofs: () => {
       const routes = core.getRoutes();
       return routes === undefined || routes.accounts !== undefined;
     },
-    registry: parts.register,
+    registry: options.vmRegistry,
     clock,
     log,
-    server: peers.server,
+    server: peerServer.server,
     seeds: settings.seeds,
-    isFleetBootstrap: settings.startsWithAll,
+    isFleetBootstrap: settings.isFleetBootstrap,
     makeReport: (): VmReport => ({
       state: updateState(),
-      demandPerS: core.demand.getRates(),
-      digests: board.getDigests(),
+      demandPerS: core.demandMeter.getRates(),
+      digests: factStore.getDigests(),
     }),
-    onFound: (identity) => sharing.sendHistory(identity),
+    onFound: (identity) => activitySharing.sendHistory(identity),
     onActivity: (from, scope, activity) =>
-      sharing.receive(from, scope, activity),
-    onUsage: (from, news) => usageSharing.receive(from, news),
-    onServerUsage: (from, news) => limitSharing.receive(from, news),
+      activitySharing.receive(from, scope, activity),
+    onUsage: (from, update) => usageSharing.receive(from, update),
+    onServerUsage: (from, update) => serverLimitSharing.receive(from, update),
     onServerRateLimits: ({ id }, rates) =>
       core.serverLimits.rateLimits.receive(id, rates),
   });
@@ -171,9 +181,9 @@
     self,
     clock,
     limiter: core.limiter,
-    limitShares: core.limitPool,
+    limitShares: core.limitShares,
     hasLimits: () => core.getRoutes()?.accounts !== undefined,
-    listPeers: () => table.listAlive().map(({ identity }) => identity),
+    listPeers: () => memberTable.listAlive().map(({ identity }) => identity),
     getTopology: mesh.getTopology,
     send: (vmIds, { scope, vms, usage }) =>
       mesh.sendTo(vmIds, {
@@ -183,11 +193,11 @@
         usage: encodeUsage(usage),
       }),
   });
-  const limitSharing = startServerLimitSharing({
+  const serverLimitSharing = startServerLimitSharing({
     self,
     clock,
     limits: core.serverLimits,
-    listOthers: () => table.listAlive().map(({ identity }) => identity),
+    listPeers: () => memberTable.listAlive().map(({ identity }) => identity),
     getTopology: mesh.getTopology,
     sendUsage: (vmIds, { scope, vms, usage }) =>
       mesh.sendTo(vmIds, {
@@ -196,22 +206,22 @@
         vms,
         usage: encodeUsage(usage),
       }),
-    tellRates: mesh.broadcastServerRateLimits,
+    sendRateLimits: mesh.broadcastServerRateLimits,
   });
-  const sharing = startSharing({
+  const activitySharing = startSharing({
     self,
     clock,
     log,
-    cacheModel: memory,
-    running,
-    listServing: table.listServing,
+    cacheModel,
+    running: runningRequests,
+    listServing: memberTable.listServing,
     getTopology: () => mesh.getTopology(),
-    getOwnRunning: () => core.registry.listOwnRequests(MIN_TOLD_RUN_MS),
+    getOwnRunning: () => core.registry.listOwnRequests(MIN_REPORTED_RUN_MS),
     getRegion: core.registry.getRegion,
     send: (vmIds, scope, activity) =>
       mesh.sendTo(vmIds, { kind: "activity", scope, ...activity }),
   });
-  const readers = startReaders(parts, board, {
+  const readers = startReaders(options, factStore, {
     hasReadDuty: () => mesh.hasListed() && vms.isReader(mesh.getTopology()),
     needsFallbackRead: (ageMs) =>
       needsFallbackRead(ageMs, {
@@ -219,61 +229,62 @@
         isBehindHub: isBehindHub(mesh.getTopology(), self),
         uptimeMs: clock.monotonicMs() - startedAtMs,
       }),
-    onUpdates: (items) => mesh.broadcastFacts(items),
-    onRead: (topic, askedAt) => {
-      const isProof = topic === "operations" && provesConfiguration(board);
-      if (isProof) knowledge.recordRead(askedAt);
+    onUpdates: (updates) => mesh.broadcastFacts(updates),
+    onRead: (topic, requestedAt) => {
+      const isProof = topic === "operations" &&
+        canProveConfiguration(factStore);
+      if (isProof) freshness.recordRead(requestedAt);
       mesh.announceRead(topic);
     },
-    getInstant: knowledge.getInstant,
+    getInstant: freshness.getInstant,
   });
-  const front = await startFrontServer({
+  const frontServer = await startFrontServer({
     address: settings.frontAddress,
     codec,
-    handler: core.flow,
+    handler: core.requestHandler,
     callerCheck: core.callerCheck,
     clock,
     log,
     metrics,
-    isOverloaded: overload.isOverloaded,
+    isOverloaded: overloadMonitor.isOverloaded,
     getRouteTable: core.getRoutes,
-    getRouteTableAgeMs: () => board.getAgeMs("operations"),
+    getRouteTableAgeMs: () => factStore.getAgeMs("operations"),
   });
-  const control = await serveControl({
+  const controlServers = await startControlServers({
     settings,
-    paths: parts.paths,
+    paths: options.paths,
     metrics,
     isReady: () => updateState() === "serving",
     getDirectoryView: () => ({
       self,
       ownState: updateState(),
-      servingPeers: table.listServing(),
+      servingPeers: memberTable.listServing(),
       ttlMs,
     }),
     dumpState: () =>
       dumpState({
         self,
         state,
-        board,
-        knowledge,
-        table,
+        factStore,
+        freshness,
+        memberTable,
         core,
-        openRequests: front.countOpenRequests(),
+        openRequests: frontServer.countOpenRequests(),
       }),
   });
-  const startCheck = clock.every(START_CHECK_MS, () => {
+  const startCheck = clock.every(START_CHECK_INTERVAL_MS, () => {
     if (updateState() === "starting") return;
     startCheck.cancel();
     mesh.sendReport();
   });
-  const { revocationDeadlineMs: withdrawalMs } = settings.accounts;
-  const knowledgeWatch = withdrawalMs === undefined
+  const { revocationDeadlineMs } = settings.accounts;
+  const freshnessMonitor = revocationDeadlineMs === undefined
     ? undefined
     : startFreshnessMonitor({
       clock,
       log,
-      freshness: knowledge,
-      maxAgeMs: withdrawalMs,
+      freshness,
+      maxAgeMs: revocationDeadlineMs,
     });
   log.info({ ...self }, "started");
 
@@ -281,20 +292,20 @@
     stop() {
       state = "leaving";
       startCheck.cancel();
-      knowledgeWatch?.cancel();
-      overload.stop();
-      sharing.stop();
+      freshnessMonitor?.cancel();
+      overloadMonitor.stop();
+      activitySharing.stop();
       usageSharing.stop();
-      limitSharing.stop();
+      serverLimitSharing.stop();
       core.suspects.stop();
       return leave({
         clock,
         log,
-        front,
+        front: frontServer,
         mesh,
         readers,
         exchange: core.exchange,
-        control: [...control, peers],
+        control: [...controlServers, peerServer],
         graceMs: settings.bounds.graceMs,
         ttlMs,
       });
@@ -302,40 +313,41 @@
   };
 }
 
-function getConfigurationNumber(board: FactStore): number {
-  const fact = board.get(CONFIGURATION_KEY)?.fact;
+function getConfigurationVersion(factStore: FactStore): number {
+  const fact = factStore.get(CONFIGURATION_KEY)?.fact;
   return fact?.kind === "configuration" ? fact.configuration.version : 0;
 }
 
 /**
- * After a restore the source may lack a configuration that no VM has read: until
- * the operator wrote again a reading proves nothing.
+ * Whether a read of the source proves that the configuration is current. After
+ * a restore the source may lack a configuration that no VM has read, so a read
+ * proves nothing until the operator has written a configuration again.
  */
-function provesConfiguration(board: FactStore): boolean {
-  return !board.hasUnsettledRestore("operations") ||
-    board.isFromLatestEpoch(CONFIGURATION_KEY);
+function canProveConfiguration(factStore: FactStore): boolean {
+  return !factStore.hasUnsettledRestore("operations") ||
+    factStore.isFromLatestEpoch(CONFIGURATION_KEY);
 }
 
 function startReaders(
-  { source, clock, log, settings }: GatewayParts,
-  board: FactStore,
-  duty: Pick<
+  { source, clock, log, settings }: GatewayOptions,
+  factStore: FactStore,
+  callbacks: Pick<
     ReaderOptions,
     "hasReadDuty" | "needsFallbackRead" | "onUpdates" | "onRead" | "getInstant"
   >,
 ): Reader[] {
   const isStrict = settings.accounts.revocationDeadlineMs !== undefined;
   return SOURCE_TOPICS.map((topic) => {
-    const times = topic === "operations" && isStrict
+    const timings = topic === "operations" && isStrict
       ? STRICT_READER_TIMINGS
       : DEFAULT_READER_TIMINGS;
     return startReader(topic, {
       source,
-      store: board,
+      store: factStore,
       clock,
       log,
-      timings: times,
-      ...duty,
+      timings,
+      ...callbacks,
     });
   });
 }
--- a/src/gateway/gauges.ts
+++ b/src/gateway/gauges.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway shows of itself beside the figures of its requests.
+ * Gauges of a gateway, exposed besides the metrics of its requests.
  *
  * @module
  */
@@ -12,21 +12,22 @@
 } from "../telemetry/metrics.ts";
 import type { Core } from "./core.ts";
 
-/** Shown as the age of facts before there are any. */
+/** Reported as the age of facts before there are any. */
 const UNKNOWN_AGE_MS = 1_000_000_000;
 
 /**
- * @param core What the gateway decides with.
- * @param board Its facts.
- * @param knowledge How old they are.
- * @param countVms Counts the VMs that serve, as seen here.
- * @returns The figures of the process.
+ * @param core The core of the gateway.
+ * @param factStore The facts.
+ * @param freshness The proven age of the configuration.
+ * @param countServingVms Returns the number of VMs that serve, by the local
+ *   view.
+ * @returns The metrics of the process.
  */
 export function createGatewayMetrics(
   core: Core,
-  board: FactStore,
-  knowledge: FreshnessTracker,
-  countVms: () => number,
+  factStore: FactStore,
+  freshness: FreshnessTracker,
+  countServingVms: () => number,
 ): ServingMetrics {
   return createServingMetrics({
     backend_connections: {
@@ -35,23 +36,23 @@
     },
     fact_age_seconds: {
       help: "Age of the least current facts",
-      read: () => Math.min(getOldestAgeMs(board), UNKNOWN_AGE_MS) / 1_000,
+      read: () => Math.min(getOldestAgeMs(factStore), UNKNOWN_AGE_MS) / 1_000,
     },
     source_epoch: {
       help: "Epoch of the source of facts; rises when it is restored",
-      read: () => board.getLatestEpoch("operations"),
+      read: () => factStore.getLatestEpoch("operations"),
     },
     source_unsettled: {
       help: "1 while facts that the source lost may be written again",
-      read: () => Number(SOURCE_TOPICS.some(board.hasUnsettledRestore)),
+      read: () => Number(SOURCE_TOPICS.some(factStore.hasUnsettledRestore)),
     },
     knowledge_age_seconds: {
       help: "Proven age of what is known of the configuration",
-      read: () => Math.min(knowledge.getAgeMs(), UNKNOWN_AGE_MS) / 1_000,
+      read: () => Math.min(freshness.getAgeMs(), UNKNOWN_AGE_MS) / 1_000,
     },
     limit_part: {
       help: "Part of each account's limit that the VMs heard here hold",
-      read: () => core.limitPool.getShare(),
+      read: () => core.limitShares.getShare(),
     },
     draining_servers: {
       help: "Backend servers that announced their drain and are still listed",
@@ -66,7 +67,7 @@
       help: "Backend servers with a rate limit",
       read: () => core.serverLimits.rateLimits.count(),
     },
-    vms: { help: "VMs that serve, as seen here", read: countVms },
+    vms: { help: "VMs that serve, as seen here", read: countServingVms },
     suspect_requests: {
       help: "Requests under which backend servers ended lately",
       read: () => core.suspects.list().length,
--- a/src/gateway/leave.ts
+++ b/src/gateway/leave.ts
@@ -1,6 +1,6 @@
 /**
- * The planned end of a gateway: no request in flight is cut off, and clients
- * have time to forget its address.
+ * Graceful shutdown of a gateway: requests in progress are completed, and
+ * clients have time to stop using its address.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 import type { FrontServer } from "../serving/front_server.ts";
 import type { Log } from "../telemetry/log.ts";
 
-/** What has to end. */
-export interface LeaveParts {
+/** Components to stop, and time limits. */
+export interface LeaveOptions {
   clock: Clock;
   log: Log;
   front: FrontServer;
@@ -21,41 +21,48 @@
   readers: readonly Reader[];
   exchange: Exchange;
   control: readonly HttpServer[];
-  /** Time until the process is killed. */
+  /** Time until the process is killed, in ms. */
   graceMs: number;
-  /** How long clients use a directory answer. */
+  /** Time for which clients may use a directory answer, in ms. */
   ttlMs: number;
 }
 
-/** Some clients use a directory answer this many times as long. */
-const TTL_STRETCH = 3;
-/** Connections that reach a leaving VM just as clients forget it. */
-const LEAVE_MARGIN_MS = 300;
-/** Kept back from the time to stop, for the end of the process itself. */
+/** Some clients use a directory answer for this multiple of its TTL. */
+const MAX_TTL_OVERRUN_FACTOR = 3;
+/** Additional time for connections opened just before the address expires. */
+const LATE_CONNECTION_MARGIN_MS = 300;
+/** Part of the shutdown time reserved for the exit of the process. */
 const EXIT_MARGIN_MS = 400;
-/** Connections that don't close in this time are left to the process's end. */
-const CLOSE_MS = 100;
+/**
+ * Connections still open after this time are closed by the exit of the process.
+ */
+const CLOSE_TIMEOUT_MS = 100;
 
 /**
- * Serves on until clients have forgotten this VM, then ends.
+ * Continues to serve until clients no longer use the address of this VM, then
+ * stops all components.
  *
- * @param parts What has to end.
- * @returns Resolves when the process may exit.
+ * @param options Components to stop, and time limits.
+ * @returns A promise that resolves when the process may exit.
  */
-export async function leave(parts: LeaveParts): Promise<void> {
-  const { clock, log, front, mesh } = parts;
+export async function leave(options: LeaveOptions): Promise<void> {
+  const { clock, log, front, mesh } = options;
   const startedAtMs = clock.monotonicMs();
   log.info({ openRequests: front.countOpenRequests() }, "leaving");
   mesh.sendReport();
   front.startLeaving();
-  const forgetMs = parts.ttlMs * TTL_STRETCH + LEAVE_MARGIN_MS;
-  const lastMs = parts.graceMs - EXIT_MARGIN_MS;
-  await pause(clock, Math.min(forgetMs, lastMs));
-  const leftMs = lastMs - (clock.monotonicMs() - startedAtMs);
-  await Promise.race([front.close(), pause(clock, Math.max(0, leftMs))]);
+  const addressExpiryMs = options.ttlMs * MAX_TTL_OVERRUN_FACTOR +
+    LATE_CONNECTION_MARGIN_MS;
+  const maxLeaveMs = options.graceMs - EXIT_MARGIN_MS;
+  await pause(clock, Math.min(addressExpiryMs, maxLeaveMs));
+  const remainingMs = maxLeaveMs - (clock.monotonicMs() - startedAtMs);
+  await Promise.race([front.close(), pause(clock, Math.max(0, remainingMs))]);
   log.info({ openRequests: front.countOpenRequests() }, "stopped");
-  parts.readers.forEach((reader) => reader.stop());
+  options.readers.forEach((reader) => reader.stop());
   mesh.stop();
-  parts.control.forEach(({ server }) => server.close());
-  await Promise.race([parts.exchange.close(), pause(clock, CLOSE_MS)]);
+  options.control.forEach(({ server }) => server.close());
+  await Promise.race([
+    options.exchange.close(),
+    pause(clock, CLOSE_TIMEOUT_MS),
+  ]);
 }
--- a/src/gateway/server_limits.ts
+++ b/src/gateway/server_limits.ts
@@ -1,6 +1,6 @@
 /**
- * What backend servers ask for in their answers: rate limits, which all VMs spend
- * together and tell each other of, and backoffs, which each VM keeps by itself.
+ * Limits that backend servers set in their answers: rate limits, which all VMs
+ * share, and backoffs, which each VM keeps on its own.
  *
  * @module
  */
@@ -33,47 +33,49 @@
 import type { RunTimes } from "../servers/run_times.ts";
 import type { Log } from "../telemetry/log.ts";
 
-/** What servers asked for. */
+/** Limits set by backend servers. */
 export interface ServerLimits {
   rateLimits: ServerRateLimits;
   limiter: RateLimiter;
-  pool: LimitShares;
+  limitShares: LimitShares;
   backoffs: ServerBackoffs;
   permits: ServerPermits;
 }
 
-/** What keeping it needs. */
-export interface ServerLimitParts {
+/** Dependencies of the limits. */
+export interface ServerLimitsOptions {
   clock: Clock;
   log: Log;
   random: Random;
   ownId: string;
-  /** VMs that may serve, this one included. */
-  countKnown: () => number;
+  /** @returns Number of VMs that may serve, this one included. */
+  countKnownVms: () => number;
   runTimes: RunTimes;
 }
 
-/** VMs that are cut off don't exceed a limit together either. */
-const MARGIN: LimitMargin = { windowMs: 4_000, ratio: 0, allowance: 0 };
-/** Pause in which news of limits gather. */
-const TELL_MS = 100;
+/** No margin: partitioned VMs must not exceed a limit together either. */
+const LIMIT_MARGIN: LimitMargin = { windowMs: 4_000, ratio: 0, allowance: 0 };
+/**
+ * Interval at which changed rate limits are sent, collected into one message.
+ */
+const RATE_LIMIT_SEND_INTERVAL_MS = 100;
 
 /**
- * @param parts What keeping it needs.
- * @returns Limits and backoffs, of which there are none yet.
+ * @param options Dependencies of the limits.
+ * @returns Limits without any entry.
  */
-export function createServerLimits(parts: ServerLimitParts): ServerLimits {
-  const { clock, log, random, ownId, countKnown, runTimes } = parts;
+export function createServerLimits(options: ServerLimitsOptions): ServerLimits {
+  const { clock, log, random, ownId, countKnownVms, runTimes } = options;
   const rateLimits = createServerRateLimits({ clock, log, ownId });
-  const pool = createLimitShares(clock, countKnown);
+  const limitShares = createLimitShares(clock, countKnownVms);
   const limiter = new SharedUsageLimiter({
     clock,
     random,
-    getShare: pool.getShare,
-    getOwnShare: pool.getOwnShare,
-    // A limit begins while its server is in use: no burst is saved up.
+    getShare: limitShares.getShare,
+    getOwnShare: limitShares.getOwnShare,
+    // A limit starts while its server is in use, so it starts without a burst.
     getStableMs: () => 0,
-    margin: MARGIN,
+    margin: LIMIT_MARGIN,
     findSubject(name) {
       const ratePerS = rateLimits.getRatePerS(name);
       return ratePerS === undefined
@@ -89,48 +91,62 @@
     random,
     runTimes,
   });
-  return { rateLimits, limiter, pool, backoffs, permits };
+  return { rateLimits, limiter, limitShares, backoffs, permits };
 }
 
-/** What telling others needs. */
-export interface LimitSharingParts {
+/** Dependencies of the exchange of limits between VMs. */
+export interface ServerLimitSharingOptions {
   self: VmIdentity;
   clock: Clock;
   limits: ServerLimits;
-  listOthers: () => VmIdentity[];
+  /** @returns The other VMs that are up. */
+  listPeers: () => VmIdentity[];
   getTopology: () => Topology;
-  sendUsage: (vmIds: readonly string[], news: UsageUpdate) => void;
-  tellRates: (rates: RateLimitUpdate[]) => void;
+  /**
+   * Sends usage of rate limits to some VMs.
+   *
+   * @param vmIds The VMs to send it to.
+   * @param update The usage.
+   */
+  sendUsage: (vmIds: readonly string[], update: UsageUpdate) => void;
+  /**
+   * Sends changed rate limits to all VMs.
+   *
+   * @param rates The rate limits.
+   */
+  sendRateLimits: (rates: RateLimitUpdate[]) => void;
 }
 
 /**
- * @param parts What telling others needs.
- * @returns The running exchange of what VMs spend.
+ * Starts to exchange rate limits and their usage with other VMs.
+ *
+ * @param options Dependencies of the exchange.
+ * @returns The running exchange of usage.
  */
 export function startServerLimitSharing(
-  parts: LimitSharingParts,
+  options: ServerLimitSharingOptions,
 ): UsageSharing {
-  const { self, clock, limits } = parts;
-  const { rateLimits, limiter, pool } = limits;
-  const usage = startUsageSharing({
+  const { self, clock, limits } = options;
+  const { rateLimits, limiter, limitShares } = limits;
+  const usageSharing = startUsageSharing({
     self,
     clock,
     limiter,
-    limitShares: pool,
+    limitShares,
     hasLimits: () => rateLimits.count() > 0,
-    listPeers: parts.listOthers,
-    getTopology: parts.getTopology,
-    send: parts.sendUsage,
+    listPeers: options.listPeers,
+    getTopology: options.getTopology,
+    send: options.sendUsage,
   });
-  const timer = clock.every(TELL_MS, () => {
+  const rateLimitTimer = clock.every(RATE_LIMIT_SEND_INTERVAL_MS, () => {
     const rates = rateLimits.takeUpdates();
-    if (rates.length > 0) parts.tellRates(rates);
+    if (rates.length > 0) options.sendRateLimits(rates);
   });
   return {
-    receive: usage.receive,
+    receive: usageSharing.receive,
     stop() {
-      timer.cancel();
-      usage.stop();
+      rateLimitTimer.cancel();
+      usageSharing.stop();
     },
   };
 }
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -8,39 +8,48 @@
 import type { HostPort } from "../runtime/address.ts";
 import type { LogLevel } from "../telemetry/log.ts";
 
-/** Bounds that the deployment sets for all VMs together. */
+/** Limits that the deployment sets for the fleet. */
 export interface FleetBounds {
-  /** Retries for each request, and on top in a window. */
+  /** Retries per request. */
   retryRatio: number;
+  /** Additional retries per window and service, of all VMs together. */
   retryAllowance: number;
-  /** Largest share that may change region from one 2 s window to the next. */
+  /**
+   * Largest share of the traffic, 0 to 1, that may change region from one
+   * window of 2 s to the next.
+   */
   maxShift: number;
-  /** Time from the request to stop until the process is killed. */
+  /** Time from the request to stop until the process is killed, in ms. */
   graceMs: number;
-  /** Longest time for which clients keep a directory answer. */
+  /** Longest time for which clients may use a directory answer, in ms. */
   maxTtlMs: number;
 }
 
 /** All settings of a gateway process. */
 export interface GatewaySettings {
+  /** Id of the VM in the fleet. */
   vmId: string;
   failureDomain: string;
   region: string;
-  /** Processor time that the VM may use, in cores. */
+  /** Processor capacity of the VM, in cores. */
   cores: number;
-  /** Whether all VMs start now, for the first time. */
-  startsWithAll: boolean;
-  /** Region of each failure domain. */
+  /** Whether all VMs of the fleet start together for the first time. */
+  isFleetBootstrap: boolean;
+  /** Regions by failure domain. */
   regions: ReadonlyMap<string, string>;
+  /** Where clients send requests. */
   frontAddress: HostPort;
+  /** Where the platform checks readiness. */
   readinessAddress: HostPort;
+  /** Where clients send directory requests. */
   directoryAddress: HostPort;
+  /** Where other VMs connect. */
   peerAddress: HostPort;
-  /** Where counters, histograms and the state dump are read. */
+  /** Where metrics and the state dump are served. */
   metricsAddress: HostPort;
-  /** Peer addresses of some VMs; may be stale. */
+  /** Peer addresses of some VMs; may be outdated. */
   seeds: string[];
-  /** `host:port` of the platform's table. */
+  /** Address of the platform's table, `host:port`. */
   tableAddress: string;
   bounds: FleetBounds;
   accounts: AccountBounds;
--- a/src/gateway/state_dump.ts
+++ b/src/gateway/state_dump.ts
@@ -1,5 +1,5 @@
 /**
- * All that a gateway believes, for a person to read.
+ * Dumps the state of a gateway and its view of the fleet, for people.
  *
  * @module
  */
@@ -12,53 +12,61 @@
 import type { KnownServer, ServerRegistry } from "../servers/registry.ts";
 import type { Core } from "./core.ts";
 
-/** A dump is for a person to read. */
+/** Limits the size of the dump, which is for people. */
 const MAX_DUMPED_ACCOUNTS = 200;
 
-/** Where the state is. */
-export interface StateDumpParts {
+/** Sources of the dumped state. */
+export interface StateDumpOptions {
   self: VmIdentity;
   state: VmState;
-  board: FactStore;
-  knowledge: FreshnessTracker;
-  table: MemberTable;
+  factStore: FactStore;
+  freshness: FreshnessTracker;
+  memberTable: MemberTable;
   core: Core;
   openRequests: number;
 }
 
 /**
- * @param parts Where the state is.
+ * @param options Sources of the state.
  * @returns The state as plain values.
  */
-export function dumpState(parts: StateDumpParts): Record<string, unknown> {
-  const { self, state, board, knowledge, table, core, openRequests } = parts;
-  const ages = SOURCE_TOPICS.map((topic) => [topic, board.getAgeMs(topic)]);
+export function dumpState(options: StateDumpOptions): Record<string, unknown> {
+  const {
+    self,
+    state,
+    factStore,
+    freshness,
+    memberTable,
+    core,
+    openRequests,
+  } = options;
+  const ages = SOURCE_TOPICS.map((topic) => [topic, factStore.getAgeMs(topic)]);
   return {
     self,
     state,
     configuration: dumpConfiguration(core.getRoutes()?.configuration),
-    knowledgeAgeMs: knowledge.getAgeMs(),
+    knowledgeAgeMs: freshness.getAgeMs(),
     factAgesMs: Object.fromEntries(ages),
     epochs: Object.fromEntries(
-      SOURCE_TOPICS.map((topic) => [topic, board.listEpochs(topic)]),
+      SOURCE_TOPICS.map((topic) => [topic, factStore.listEpochs(topic)]),
     ),
-    configurationVersion: board.get(CONFIGURATION_KEY)?.version,
-    limitPart: core.limitPool.getShare(),
+    configurationVersion: factStore.get(CONFIGURATION_KEY)?.version,
+    limitPart: core.limitShares.getShare(),
     limits: core.limiter.list(),
     serverRateLimits: core.serverLimits.rateLimits.list(),
     serverBackoffs: core.serverLimits.backoffs.list(),
-    serverLimitPart: core.serverLimits.pool.getShare(),
+    serverLimitPart: core.serverLimits.limitShares.getShare(),
     evacuated: core.registry.listEvacuated(),
     servers: core.registry.listAll().map((server) =>
       dumpServer(server, core.registry)
     ),
     suspects: core.suspects.list(),
-    members: table.listKnown(),
+    members: memberTable.listKnown(),
     openRequests,
   };
 }
 
-/** Accounts show how many keys they have, and nothing of them. */
+/** Replaces the key digests of accounts by the number of keys. */
 function dumpConfiguration(
   configuration: Configuration | undefined,
 ): Record<string, unknown> | undefined {
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { setTimeout as sleep } from "node:timers/promises";
-import { makeServer, makeServerNews } from "../gateway/fixture.ts";
+import { makeServer, makeServerUpdate } from "../gateway/fixture.ts";
 import { createFactStore } from "../news/fact_store.ts";
 import { createFreshnessTracker } from "../news/freshness.ts";
 import { makeCrashUpdate } from "../quarantine/suspect_facts.ts";
@@ -136,7 +136,7 @@
   const { vms, others, stop } = await startFleet();
   const seenAtMs = 0;
   const updates = [
-    makeServerNews(makeServer("1"), 1),
+    makeServerUpdate(makeServer("1"), 1),
     makeCrashUpdate({
       request: "r",
       round: 0,
--- a/src/members/link_set.ts
+++ b/src/members/link_set.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
-import { encodeBroadcast, type PeerLink } from "../runtime/peer_link.ts";
+import { encodeBroadcastFrame, type PeerLink } from "../runtime/peer_link.ts";
 import type { VmMessage } from "./messages.ts";
 import type { FactPeer } from "./repair.ts";
 import { PEER_TIMEOUT_MS } from "./table.ts";
@@ -123,11 +123,11 @@
     has,
     listIdentities,
     send(message) {
-      const frame = encodeBroadcast(message);
+      const frame = encodeBroadcastFrame(message);
       for (const link of links.keys()) link.sendFrame(message.kind, frame);
     },
     sendWhere(message, isWanted, except) {
-      const frame = encodeBroadcast(message);
+      const frame = encodeBroadcastFrame(message);
       for (const [link, { identity }] of links) {
         if (identity === undefined || link === except) continue;
         if (isWanted(identity)) link.sendFrame(message.kind, frame);
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -14,7 +14,7 @@
 import type { FreshnessTracker } from "../news/freshness.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { RateLimitUpdate } from "../servers/rate_limits.ts";
-import { acceptLinks, keepLink } from "../runtime/peer_link.ts";
+import { acceptLinks, maintainLink } from "../runtime/peer_link.ts";
 import type { Log } from "../telemetry/log.ts";
 import { createDialer } from "./dialer.ts";
 import { startDiscovery } from "./discovery.ts";
@@ -150,7 +150,7 @@
     canDialSeeds: () =>
       discovery.hasListed() ||
       clock.monotonicMs() - startedAtMs >= listAfterMs + SEED_DIAL_DELAY_MS,
-    dial: (address) => keepLink(address, linkOptions),
+    dial: (address) => maintainLink(address, linkOptions),
   });
   const views = createHubViews({
     ...options,
--- a/src/members/mesh_test.ts
+++ b/src/members/mesh_test.ts
@@ -2,12 +2,12 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import type { Activity, ActivityScope } from "../activity/types.ts";
-import { makeServer, makeServerNews } from "../gateway/fixture.ts";
+import { makeServer, makeServerUpdate } from "../gateway/fixture.ts";
 import { createFactStore } from "../news/fact_store.ts";
 import { createFreshnessTracker } from "../news/freshness.ts";
 import { createSystemClock } from "../runtime/clock.ts";
 import { createRouter, listen } from "../runtime/http_server.ts";
-import { keepLink, type PeerLink } from "../runtime/peer_link.ts";
+import { maintainLink, type PeerLink } from "../runtime/peer_link.ts";
 import { createSilentLog } from "../telemetry/log.ts";
 import { startMesh } from "./mesh.ts";
 import { type VmMessage, vmMessageSchema } from "./messages.ts";
@@ -85,7 +85,7 @@
 async function openLink(address: string, identity?: VmIdentity) {
   const received: VmMessage[] = [];
   let link: PeerLink<VmMessage> | undefined;
-  const dialed = keepLink(address, {
+  const dialed = maintainLink(address, {
     schema: vmMessageSchema,
     clock,
     isSelfContained: true,
@@ -116,7 +116,7 @@
 test("facts are sent on a link whose hello has not arrived yet", async () => {
   const { address, mesh, stop } = await startTestMesh();
   const link = await openLink(address);
-  mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
+  mesh.broadcastFacts([makeServerUpdate(makeServer("1"), 1)]);
   await sleep(200);
   const isReached = hasFacts(link.received);
   link.close();
@@ -132,7 +132,7 @@
     await openLink(address, identity),
   ];
   await sleep(100);
-  mesh.broadcastFacts([makeServerNews(makeServer("1"), 1)]);
+  mesh.broadcastFacts([makeServerUpdate(makeServer("1"), 1)]);
   await sleep(200);
   const reached = links.map((link) => hasFacts(link.received));
   links.forEach((link) => link.close());
@@ -188,7 +188,7 @@
 
 test("missed facts are requested and applied", async () => {
   const { address, factStore, stop } = await startTestMesh();
-  factStore.apply([makeServerNews(makeServer("1"), 1)]);
+  factStore.apply([makeServerUpdate(makeServer("1"), 1)]);
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   const countRequests = () =>
     link.received.filter(({ kind }) => kind === "want").length;
@@ -200,7 +200,7 @@
   await waitUntil(() => countRequests() === 1);
   link.send({
     kind: "news",
-    items: encodeUpdates([makeServerNews(makeServer("2"), 6)]),
+    items: encodeUpdates([makeServerUpdate(makeServer("2"), 6)]),
   });
   await waitUntil(() => factStore.getDigest("servers").versionSum === 7);
   link.close();
@@ -209,7 +209,7 @@
 
 test("a requested topic is sent whole, including removals", async () => {
   const { address, factStore, stop } = await startTestMesh();
-  factStore.apply([makeServerNews(makeServer("1"), 1)]);
+  factStore.apply([makeServerUpdate(makeServer("1"), 1)]);
   factStore.apply([{
     topic: "servers",
     key: "server/2",
@@ -228,7 +228,7 @@
   const { address, factStore, mesh, stop } = await startTestMesh();
   const link = await openLink(address, makeIdentity("other", "127.0.0.1:2"));
   for (let count = 0; count < 140; count++) {
-    factStore.apply([makeServerNews(makeServer(`${count}`), 1)]);
+    factStore.apply([makeServerUpdate(makeServer(`${count}`), 1)]);
     mesh.sendReport();
   }
   const listFacts = () =>
--- a/src/members/repair_test.ts
+++ b/src/members/repair_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { makeServer, makeServerNews } from "../gateway/fixture.ts";
+import { makeServer, makeServerUpdate } from "../gateway/fixture.ts";
 import { createFactStore } from "../news/fact_store.ts";
 import type { Topic } from "../news/types.ts";
 import { createFakeClock } from "../runtime/clock.ts";
@@ -40,7 +40,7 @@
 
 test("facts are requested for a lasting difference, not for a passing one", () => {
   const { clock, factStore, repair, asked, peer } = startRepair();
-  factStore.apply([makeServerNews(makeServer("1"), 1)]);
+  factStore.apply([makeServerUpdate(makeServer("1"), 1)]);
   assert.not(repair.compare(peer, "servers", OTHER));
   clock.advance(900);
   assert.not(repair.compare(peer, "servers", OTHER));
@@ -56,7 +56,7 @@
   const { clock, factStore, repair, asked, peer } = startRepair();
   for (let version = 1; version < 30; version++) {
     repair.compare(peer, "servers", { facts: 1, versionSum: version });
-    factStore.apply([makeServerNews(makeServer("1"), version)]);
+    factStore.apply([makeServerUpdate(makeServer("1"), version)]);
     clock.advance(330);
     if (version > 1) {
       repair.compare(peer, "servers", { facts: 1, versionSum: version });
@@ -68,7 +68,7 @@
 test("a VM started after a restore requests facts from one that ran before", () => {
   const { factStore, repair, asked, peer } = startRepair();
   factStore.recordEpochs("servers", [{ epoch: 2, copiedThrough: 50 }]);
-  factStore.apply([makeServerNews(makeServer("1"), 40, 2)]);
+  factStore.apply([makeServerUpdate(makeServer("1"), 40, 2)]);
   const epochs = [
     { epoch: 1, copiedThrough: 0, isSettled: true },
     { epoch: 2, copiedThrough: 48 },
--- a/src/news/epoch_settlement_test.ts
+++ b/src/news/epoch_settlement_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { makeConfigurationNews } from "../gateway/fixture.ts";
+import { makeConfigurationUpdate } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createFactStore } from "./fact_store.ts";
 import { createEpochSettlement } from "./epoch_settlement.ts";
@@ -13,7 +13,7 @@
     { epoch: 1, copiedThrough: 0, isSettled: true },
     { epoch: 2, copiedThrough: 50 },
   ]);
-  store.apply([makeConfigurationNews(6, 60, 1)]);
+  store.apply([makeConfigurationUpdate(6, 60, 1)]);
   return {
     clock,
     store,
@@ -66,7 +66,7 @@
 test("an older configuration settles the epoch only after a minute", () => {
   const { clock, settlement } = createSettlement();
   const older = {
-    items: [makeConfigurationNews(5, 50, 2)],
+    items: [makeConfigurationUpdate(5, 50, 2)],
     version: makeVersion(70, 2),
   };
   settlement.recordAnswer();
@@ -84,14 +84,14 @@
   settlement.recordAnswer();
   clock.advance(5_000);
   assert.ok(settlement.isDue());
-  const items = [makeConfigurationNews(6, 45, 3)];
+  const items = [makeConfigurationUpdate(6, 45, 3)];
   assert.not(settlement.settlesEpoch({ items, version: makeVersion(52, 3) }));
 });
 
 test("a configuration that was written again settles the epoch", () => {
   const { clock, settlement } = createSettlement();
   const again = {
-    items: [makeConfigurationNews(6, 55, 2)],
+    items: [makeConfigurationUpdate(6, 55, 2)],
     version: makeVersion(70, 2),
   };
   settlement.recordAnswer();
--- a/src/news/epochs_test.ts
+++ b/src/news/epochs_test.ts
@@ -2,21 +2,21 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import {
-  makeConfigurationNews,
+  makeConfigurationUpdate,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createEpochTracker } from "./epochs.ts";
 import type { FactUpdate } from "./types.ts";
 import { type EpochStart, makeVersion } from "./version.ts";
 
 function makeUpdate(number: number, epoch: number): FactUpdate {
-  return makeServerNews(makeServer("1"), number, epoch);
+  return makeServerUpdate(makeServer("1"), number, epoch);
 }
 
 function makeDrainingUpdate(number: number, epoch: number): FactUpdate {
   const server = makeServer("1", { state: "draining" });
-  return makeServerNews(server, number, epoch);
+  return makeServerUpdate(server, number, epoch);
 }
 
 const RESTORED: EpochStart[] = [
@@ -62,14 +62,14 @@
     "a draining server listed as ready, before it writes its drain again",
   ],
   [
-    makeConfigurationNews(7, 45, 2),
-    makeConfigurationNews(6, 60, 1),
+    makeConfigurationUpdate(7, 45, 2),
+    makeConfigurationUpdate(6, 60, 1),
     true,
     "a newer configuration with a number that may come from the copy",
   ],
   [
-    makeConfigurationNews(5, 55, 2),
-    makeConfigurationNews(6, 60, 1),
+    makeConfigurationUpdate(5, 55, 2),
+    makeConfigurationUpdate(6, 60, 1),
     false,
     "an older configuration that is written again",
   ],
@@ -86,8 +86,8 @@
   epochs.record([{ epoch: 2, copiedThrough: 0, isSettled: true }]);
   assert.ok(epochs.isNewer(makeUpdate(3, 2), makeUpdate(60, 1)));
   assert.not(epochs.isNewer(makeUpdate(60, 1), makeUpdate(3, 2)));
-  const older = makeConfigurationNews(5, 45, 2);
-  assert.ok(epochs.isNewer(older, makeConfigurationNews(6, 60, 1)));
+  const older = makeConfigurationUpdate(5, 45, 2);
+  assert.ok(epochs.isNewer(older, makeConfigurationUpdate(6, 60, 1)));
 });
 
 test("two restores in a row leave the newest fact in place", () => {
--- a/src/news/fact_store_test.ts
+++ b/src/news/fact_store_test.ts
@@ -1,6 +1,6 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { makeServer, makeServerNews } from "../gateway/fixture.ts";
+import { makeServer, makeServerUpdate } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createFactStore, type FactStore } from "./fact_store.ts";
 import { type FactUpdate, isSameDigest } from "./types.ts";
@@ -16,8 +16,8 @@
 
 test("the highest version is kept, whatever the order of updates", () => {
   const store = createFactStore(createFakeClock());
-  const ready = makeServerNews(makeServer("1"), 5);
-  const draining = makeServerNews(makeServer("1", { state: "draining" }), 7);
+  const ready = makeServerUpdate(makeServer("1"), 5);
+  const draining = makeServerUpdate(makeServer("1", { state: "draining" }), 7);
   assert.is(store.apply([draining]).length, 1);
   assert.is(store.apply([ready]).length, 0);
   assert.equal(store.listTopic("servers"), [draining]);
@@ -25,19 +25,19 @@
 
 test("a late update does not restore a removed fact", () => {
   const store = createFactStore(createFakeClock());
-  store.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
-  store.apply([makeServerNews(makeServer("1"), 6)]);
+  store.apply([makeServerUpdate(makeServer("1"), 5), makeRemoval("1", 8)]);
+  store.apply([makeServerUpdate(makeServer("1"), 6)]);
   assert.ok(store.listTopic("servers").every(({ fact }) => fact === undefined));
 });
 
 test("a snapshot removes the facts that it lacks, except newer ones", () => {
   const store = createFactStore(createFakeClock());
   store.apply([
-    makeServerNews(makeServer("old"), 5),
-    makeServerNews(makeServer("kept"), 6),
-    makeServerNews(makeServer("newer"), 20),
+    makeServerUpdate(makeServer("old"), 5),
+    makeServerUpdate(makeServer("kept"), 6),
+    makeServerUpdate(makeServer("newer"), 20),
   ]);
-  const kept = makeServerNews(makeServer("kept"), 6);
+  const kept = makeServerUpdate(makeServer("kept"), 6);
   const changed = store.applySnapshot("servers", {
     items: [kept],
     version: makeVersion(10),
@@ -51,7 +51,7 @@
 
 test("a snapshot leaves the other topic unchanged", () => {
   const store = createFactStore(createFakeClock());
-  store.apply([makeServerNews(makeServer("1"), 5)]);
+  store.apply([makeServerUpdate(makeServer("1"), 5)]);
   store.applySnapshot("operations", { items: [], version: makeVersion(10) });
   assert.is(store.listTopic("servers")[0].fact?.kind, "server");
 });
@@ -70,7 +70,7 @@
 test("removals are deleted after two minutes", () => {
   const clock = createFakeClock();
   const store = createFactStore(clock);
-  store.apply([makeServerNews(makeServer("1"), 5), makeRemoval("1", 8)]);
+  store.apply([makeServerUpdate(makeServer("1"), 5), makeRemoval("1", 8)]);
   clock.advance(130_000);
   store.apply([]);
   assert.is(store.listTopic("servers").length, 0);
@@ -78,9 +78,9 @@
 
 test("stores with different facts have different digests", () => {
   const [one, other] = [0, 1].map(() => createFactStore(createFakeClock()));
-  one.apply([makeServerNews(makeServer("1"), 1)]);
-  one.apply([makeServerNews(makeServer("2"), 2)]);
-  other.apply([makeServerNews(makeServer("2"), 2)]);
+  one.apply([makeServerUpdate(makeServer("1"), 1)]);
+  one.apply([makeServerUpdate(makeServer("2"), 2)]);
+  other.apply([makeServerUpdate(makeServer("2"), 2)]);
   assert.not.equal(one.getDigest("servers"), other.getDigest("servers"));
   other.apply(one.listTopic("servers"));
   assert.equal(one.getDigest("servers"), other.getDigest("servers"));
@@ -98,8 +98,8 @@
   const store = createFactStore(createFakeClock());
   store.recordEpochs("servers", RESTORED);
   store.apply([
-    makeServerNews(makeServer("old"), 40, 1),
-    makeServerNews(makeServer("joined"), 60, 1),
+    makeServerUpdate(makeServer("old"), 40, 1),
+    makeServerUpdate(makeServer("joined"), 60, 1),
     { ...makeRemoval("left", 61), version: makeVersion(61, 1) },
   ]);
   return store;
@@ -112,8 +112,8 @@
 
 test("a snapshot of a restored copy reverts nothing", () => {
   const store = createRestoredStore();
-  const left = makeServerNews(makeServer("left"), 45, 2);
-  const old = makeServerNews(makeServer("old"), 40, 2);
+  const left = makeServerUpdate(makeServer("left"), 45, 2);
+  const old = makeServerUpdate(makeServer("old"), 40, 2);
   const batch = { items: [old, left], version: makeVersion(52, 2) };
   assert.equal(store.applySnapshot("servers", batch), []);
   assert.equal(listNames(store), ["server/joined", "server/old"]);
@@ -126,7 +126,7 @@
     copiedThrough: 0,
     isSettled: true,
   }]);
-  const left = makeServerNews(makeServer("left"), 45, 2);
+  const left = makeServerUpdate(makeServer("left"), 45, 2);
   const batch = { items: [left], version: makeVersion(52, 2) };
   store.applySnapshot("servers", batch);
   assert.equal(listNames(store), ["server/left"]);
@@ -141,7 +141,7 @@
   }]);
   assert.equal(listNames(store), ["server/joined", "server/old"]);
   store.applyPeerSnapshot("servers", [
-    makeServerNews(makeServer("old"), 40, 2),
+    makeServerUpdate(makeServer("old"), 40, 2),
   ]);
   assert.equal(listNames(store), ["server/old"]);
 });
@@ -153,14 +153,14 @@
     copiedThrough: 0,
     isSettled: true,
   }]);
-  assert.equal(store.apply([makeServerNews(makeServer("lost"), 60, 1)]), []);
+  assert.equal(store.apply([makeServerUpdate(makeServer("lost"), 60, 1)]), []);
 });
 
 test("digests differ between a lost fact and one that reused its number", () => {
   const [one, other] = [0, 1].map(() => createFactStore(createFakeClock()));
   for (const store of [one, other]) store.recordEpochs("servers", RESTORED);
-  one.apply([makeServerNews(makeServer("1"), 60, 1)]);
-  other.apply([makeServerNews(makeServer("1"), 60, 2)]);
+  one.apply([makeServerUpdate(makeServer("1"), 60, 1)]);
+  other.apply([makeServerUpdate(makeServer("1"), 60, 2)]);
   assert.not(
     isSameDigest(one.getDigest("servers"), other.getDigest("servers")),
   );
@@ -170,7 +170,7 @@
   const store = createRestoredStore();
   assert.ok(store.hasUnsettledRestore("servers"));
   assert.not(store.isFromLatestEpoch("server/old"));
-  store.apply([makeServerNews(makeServer("old"), 55, 2)]);
+  store.apply([makeServerUpdate(makeServer("old"), 55, 2)]);
   assert.ok(store.isFromLatestEpoch("server/old"));
   store.recordEpochs("servers", [{
     epoch: 2,
@@ -183,7 +183,7 @@
 test("a topic is complete only after a recent read, without older epochs", () => {
   const clock = createFakeClock();
   const store = createFactStore(clock);
-  store.apply([makeServerNews(makeServer("1"), 1, 1)]);
+  store.apply([makeServerUpdate(makeServer("1"), 1, 1)]);
   assert.not(store.isComplete("servers"));
   store.recordComplete("servers", 0);
   assert.ok(store.isComplete("servers"));
--- a/src/placement/choose_test.ts
+++ b/src/placement/choose_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createFakeClock, type FakeClock } from "../runtime/clock.ts";
 import { createRandom, drawExponential } from "../runtime/random.ts";
@@ -19,7 +19,7 @@
 function createServers(clock: FakeClock, count: number): ServerRegistry {
   const registry = makeRegistry(clock);
   for (let index = 0; index < count; index++) {
-    registry.apply(makeServerNews(makeServer(`${index}`), index + 1));
+    registry.apply(makeServerUpdate(makeServer(`${index}`), index + 1));
   }
   return registry;
 }
@@ -231,7 +231,7 @@
   for (const slots of [1, 2]) {
     const clock = createFakeClock();
     const registry = makeRegistry(clock);
-    registry.apply(makeServerNews(makeServer("0", { slots }), 1));
+    registry.apply(makeServerUpdate(makeServer("0", { slots }), 1));
     const servers = registry.listUsable("s");
     const cacheMiss = { hasCachedObject: () => false, maxCacheMissQueue: 0 };
     assert.is(getOutcome(choose(servers, clock, cacheMiss)), "0");
--- a/src/placement/overload_test.ts
+++ b/src/placement/overload_test.ts
@@ -4,7 +4,7 @@
   makeRegistry,
   makeRoute,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRandom, drawExponential } from "../runtime/random.ts";
@@ -55,7 +55,7 @@
   const registry = makeRegistry(clock);
   for (let index = 0; index < SERVERS; index++) {
     const server = makeServer(`${index}`, { slots: SLOTS });
-    registry.apply(makeServerNews(server, index + 1));
+    registry.apply(makeServerUpdate(server, index + 1));
   }
   const ranking = createRanking(registry);
   const cacheModel = createObjectCacheModel();
--- a/src/placement/ranking_test.ts
+++ b/src/placement/ranking_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRanking } from "./ranking.ts";
@@ -14,7 +14,7 @@
   const registry = makeRegistry(createFakeClock());
   for (let index = 0; index < count; index++) {
     const server = makeServer(`i-${index}`, { slots: slotsOf(index) });
-    registry.apply(makeServerNews(server, index + 1));
+    registry.apply(makeServerUpdate(server, index + 1));
   }
   const ranking = createRanking(registry);
   const listFirst = (objects: number) =>
--- a/src/placement/region_stats_test.ts
+++ b/src/placement/region_stats_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
   TEST_REGIONS,
 } from "../gateway/fixture.ts";
 import { createMemberTable } from "../members/table.ts";
@@ -38,14 +38,14 @@
 
 test("the usable slots of a server are counted", () => {
   const { registry, getSlots } = startReader({ getSlots: () => 0.5 });
-  registry.apply(makeServerNews(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
   assert.is(getSlots(), 0.5);
 });
 
 test("slots of cold servers are counted, those of unreachable ones aren't", () => {
   const { registry, getSlots } = startReader();
-  registry.apply(makeServerNews(makeServer("1"), 1));
-  registry.apply(makeServerNews(makeServer("2", { coldLeftMs: 3_000 }), 2));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("2", { coldLeftMs: 3_000 }), 2));
   assert.is(getSlots(), 8);
   const [{ health }] = registry.listUsable("s");
   health.recordOutcome("unreachable");
--- a/src/placement/shedding_test.ts
+++ b/src/placement/shedding_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createServerLimits } from "../gateway/server_limits.ts";
 import { createRetryBudget } from "../retries/budget.ts";
@@ -41,7 +41,7 @@
   const random = createRandom(20261203);
   const registry = makeRegistry(clock);
   for (let index = 0; index < SERVERS; index++) {
-    registry.apply(makeServerNews(makeServer(`${index}`), index + 1));
+    registry.apply(makeServerUpdate(makeServer(`${index}`), index + 1));
   }
   const ranking = createRanking(registry);
   const { permits, backoffs } = createServerLimits({
@@ -49,7 +49,7 @@
     log: createSilentLog(),
     random,
     ownId: "vm-1",
-    countKnown: () => 1,
+    countKnownVms: () => 1,
     runTimes: createRunTimes(),
   });
   const settings = { ratio: 0.2, allowance: 6 };
--- a/src/placement/spill_test.ts
+++ b/src/placement/spill_test.ts
@@ -4,7 +4,7 @@
   makeRegistry,
   makeRoute,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createServerLimits } from "../gateway/server_limits.ts";
 import { createFakeClock } from "../runtime/clock.ts";
@@ -55,7 +55,7 @@
   }));
   servers.forEach((_, index) => {
     const server = makeServer(`${index}`, { slots: SLOTS });
-    registry.apply(makeServerNews(server, index + 1));
+    registry.apply(makeServerUpdate(server, index + 1));
   });
   const ranking = createRanking(registry);
   const cacheModel = createObjectCacheModel();
@@ -67,7 +67,7 @@
     log: createSilentLog(),
     random,
     ownId: "vm-1",
-    countKnown: () => 1,
+    countKnownVms: () => 1,
     runTimes,
   });
   let requestCount = 0;
--- a/src/runtime/access.ts
+++ b/src/runtime/access.ts
@@ -1,5 +1,5 @@
 /**
- * Who may do what: a shared key on peer links and operator endpoints.
+ * Access control by a shared key, on peer links and operator endpoints.
  *
  * @module
  */
@@ -9,10 +9,12 @@
 import type { Request } from "polka";
 import { sendProblem } from "./http_server.ts";
 
-/** Header that carries the key. */
+/** Name of the request header that carries the key. */
 export const KEY_HEADER = "hawthorngw-key";
 
 /**
+ * Compares the key of a request in constant time.
+ *
  * @param request The incoming request.
  * @param key The key from the settings.
  * @returns Whether the request carries the key.
@@ -20,14 +22,14 @@
 export function hasKey(request: IncomingMessage, key: string): boolean {
   const given = request.headers[KEY_HEADER];
   if (typeof given !== "string") return false;
-  const left = Buffer.from(given);
-  const right = Buffer.from(key);
-  return left.length === right.length && timingSafeEqual(left, right);
+  const actual = Buffer.from(given);
+  const expected = Buffer.from(key);
+  return actual.length === expected.length && timingSafeEqual(actual, expected);
 }
 
 /**
  * @param key The key from the settings.
- * @returns Middleware that refuses requests without the key.
+ * @returns Middleware that rejects requests without the key with 401.
  */
 export function requireKey(key: string) {
   return (request: Request, response: ServerResponse, next: () => void) => {
--- a/src/runtime/address.ts
+++ b/src/runtime/address.ts
@@ -1,12 +1,12 @@
 /**
- * Addresses by IP number and port.
+ * IPv4 addresses with and without a port.
  *
  * @module
  */
 import { isIPv4 } from "node:net";
 import * as z from "zod";
 
-/** `host:port` of a listener; the host is an IPv4 number. */
+/** Schema of `host:port`, where the host is an IPv4 address. */
 export const addressSchema = z.string().refine(
   (text) => {
     const { host, port } = splitAddress(text);
@@ -23,12 +23,15 @@
 
 /**
  * @param address `host:port`.
- * @returns Its two parts; the port is NaN where it is missing.
+ * @returns Host and port; the port is NaN where it is missing.
  */
 export function splitAddress(address: string): HostPort {
-  const at = address.lastIndexOf(":");
-  if (at < 0) return { host: address, port: NaN };
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+  const colonIndex = address.lastIndexOf(":");
+  if (colonIndex < 0) return { host: address, port: NaN };
+  return {
+    host: address.slice(0, colonIndex),
+    port: Number(address.slice(colonIndex + 1)),
+  };
 }
 
 /**
@@ -40,17 +43,21 @@
 }
 
 /**
- * @param text An IPv4 number such as `127.1.2.3`.
- * @returns It as an unsigned 32-bit number, or undefined where malformed.
+ * @param text An IPv4 address such as `127.1.2.3`.
+ * @returns The address as an unsigned 32-bit integer; undefined where
+ *   malformed.
  */
 export function parseIpv4(text: string): number | undefined {
   if (!isIPv4(text)) return undefined;
-  return text.split(".").reduce((sum, part) => sum * 256 + Number(part), 0);
+  return text.split(".").reduce(
+    (value, octet) => value * 256 + Number(octet),
+    0,
+  );
 }
 
 /**
- * @param address An unsigned 32-bit number.
- * @returns The dotted form.
+ * @param address An IPv4 address as an unsigned 32-bit integer.
+ * @returns The address in dotted decimal notation.
  */
 export function formatIpv4(address: number): string {
   return [24, 16, 8, 0].map((shift) => (address >>> shift) & 255).join(".");
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,12 +1,13 @@
 /**
- * Time as an interface, so that every decision can run under a fake clock.
+ * Time behind an interface, so that tests can run all time-dependent code with
+ * a fake clock.
  *
  * @module
  */
 
 /** A pending timer. */
 export interface Timer {
-  /** Stops the timer; stopping twice does no harm. */
+  /** Stops the timer; repeated calls have no effect. */
   cancel(): void;
 }
 
@@ -14,21 +15,21 @@
 export interface Clock {
   /** @returns The wall-clock time. */
   now(): Date;
-  /** @returns Milliseconds that never run backwards, from an arbitrary start. */
+  /** @returns Time in ms since an arbitrary start; never decreases. */
   monotonicMs(): number;
   /**
    * Runs a function once.
    *
-   * @param delayMs Milliseconds from now.
-   * @param run What to run.
+   * @param delayMs Delay in ms.
+   * @param run The function to run.
    * @returns The pending timer.
    */
   after(delayMs: number, run: () => void): Timer;
   /**
-   * Runs a function again and again.
+   * Runs a function periodically.
    *
-   * @param periodMs Milliseconds between two runs.
-   * @param run What to run.
+   * @param periodMs Interval between two runs, in ms.
+   * @param run The function to run.
    * @returns The timer.
    */
   every(periodMs: number, run: () => void): Timer;
@@ -53,48 +54,50 @@
 }
 
 /**
+ * Waits for some time.
+ *
  * @param clock The clock.
- * @param durationMs Milliseconds to wait.
- * @returns Resolves when the time is over.
+ * @param durationMs Time to wait, in ms.
+ * @returns A promise that resolves after that time.
  */
 export function pause(clock: Clock, durationMs: number): Promise<void> {
   return new Promise((resolve) => void clock.after(durationMs, resolve));
 }
 
-/** A clock that stands still until it is told to advance. */
+/** A clock whose time changes only by `advance`. */
 export interface FakeClock extends Clock {
   /**
-   * Advances time and runs the timers that fall due, in order.
+   * Advances the time and runs the timers that become due, in order of time.
    *
-   * @param durationMs Milliseconds to advance by.
+   * @param durationMs Time to advance by, in ms.
    */
   advance(durationMs: number): void;
 }
 
 /**
- * @param startMs Wall-clock time at the start, in ms since the epoch.
- * @returns A clock driven by hand.
+ * @param startMs Initial wall-clock time, in ms since the Unix epoch.
+ * @returns A clock that is advanced explicitly.
  */
 export function createFakeClock(startMs = 1_700_000_000_000): FakeClock {
-  interface Pending {
+  interface PendingTimer {
     dueMs: number;
     periodMs: number | undefined;
     run: () => void;
   }
-  const pending = new Set<Pending>();
+  const pending = new Set<PendingTimer>();
   let elapsedMs = 0;
 
   function add(delayMs: number, periodMs: number | undefined, run: () => void) {
-    const entry: Pending = { dueMs: elapsedMs + delayMs, periodMs, run };
-    pending.add(entry);
-    return { cancel: () => void pending.delete(entry) };
+    const timer: PendingTimer = { dueMs: elapsedMs + delayMs, periodMs, run };
+    pending.add(timer);
+    return { cancel: () => void pending.delete(timer) };
   }
 
-  function nextDue(limitMs: number): Pending | undefined {
-    let next: Pending | undefined;
-    for (const entry of pending) {
-      if (entry.dueMs > limitMs) continue;
-      if (next === undefined || entry.dueMs < next.dueMs) next = entry;
+  function findNextDue(limitMs: number): PendingTimer | undefined {
+    let next: PendingTimer | undefined;
+    for (const timer of pending) {
+      if (timer.dueMs > limitMs) continue;
+      if (next === undefined || timer.dueMs < next.dueMs) next = timer;
     }
     return next;
   }
@@ -106,7 +109,7 @@
     every: (periodMs, run) => add(periodMs, periodMs, run),
     advance(durationMs) {
       const limitMs = elapsedMs + durationMs;
-      for (let due = nextDue(limitMs); due; due = nextDue(limitMs)) {
+      for (let due = findNextDue(limitMs); due; due = findNextDue(limitMs)) {
         elapsedMs = due.dueMs;
         if (due.periodMs === undefined) pending.delete(due);
         else due.dueMs += due.periodMs;
--- a/src/runtime/dial.ts
+++ b/src/runtime/dial.ts
@@ -1,21 +1,26 @@
 /**
- * Whether anybody listens at an address.
+ * Probes whether a process listens at an address.
  *
  * @module
  */
 import { connect } from "node:net";
 import { splitAddress } from "./address.ts";
 
-/** What came of a connection that was only opened. */
+/**
+ * Outcome of a connection attempt. `silent` stands for a timeout and for every
+ * error but a refusal.
+ */
 export type DialResult = "accepted" | "refused" | "silent";
 
-/** Opens a connection and closes it again. */
+/** Opens a TCP connection to an address and closes it again. */
 export type Dial = (address: string, timeoutMs: number) => Promise<DialResult>;
 
 /**
+ * Opens a TCP connection to an address and closes it again.
+ *
  * @param address `host:port`.
- * @param timeoutMs How long to wait.
- * @returns What came of it; never rejects.
+ * @param timeoutMs Longest time to wait, in ms.
+ * @returns The outcome; the promise never rejects.
  */
 export const dial: Dial = (address, timeoutMs) => {
   const { host, port } = splitAddress(address);
--- a/src/runtime/errors.ts
+++ b/src/runtime/errors.ts
@@ -1,52 +1,52 @@
 /**
- * Errors that carry the step and the peer at which they arose.
+ * Errors with the step in which they occurred and the peer involved.
  *
  * @module
  */
 
-/** What kind of failure it was; decides whether a retry is allowed. */
+/** Kind of a failure; determines whether the step may be retried. */
 export type FailureKind =
-  /** Nothing was sent: the peer can't have acted on it. */
+  /** Nothing was sent, so the peer can't have acted on it. */
   | "not_sent"
-  /** Something was sent and no answer came: the peer may have acted on it. */
+  /** Data was sent but no answer arrived: the peer may have acted on it. */
   | "unknown"
   /** The peer answered that it did not act. */
   | "refused"
-  /** A compare-and-set found another version. */
+  /** A compare-and-set found a different version. */
   | "conflict"
-  /** The input is not acceptable. */
+  /** The input is invalid. */
   | "invalid";
 
-/** Where an error arose. */
-export interface ErrorPlace {
-  /** The step, for instance `table.transact`. */
+/** Context of an error. */
+export interface ErrorContext {
+  /** Step that failed, such as `table.transact`. */
   step: string;
-  /** The peer's address or id; `self` where no peer took part. */
+  /** Address or id of the peer; `self` where no peer took part. */
   peer: string;
   kind: FailureKind;
   cause?: unknown;
 }
 
-/** An error with its step and peer. */
+/** An error with the step that failed and the peer involved. */
 export class StepError extends Error {
   readonly step: string;
   readonly peer: string;
   readonly kind: FailureKind;
 
   /**
-   * @param message What went wrong, for a person.
-   * @param place Where it arose.
+   * @param message Description of the failure, for people.
+   * @param context Step, peer, kind and cause of the failure.
    */
-  constructor(message: string, place: ErrorPlace) {
-    super(message, { cause: place.cause });
+  constructor(message: string, context: ErrorContext) {
+    super(message, { cause: context.cause });
     this.name = "StepError";
-    this.step = place.step;
-    this.peer = place.peer;
-    this.kind = place.kind;
+    this.step = context.step;
+    this.peer = context.peer;
+    this.kind = context.kind;
   }
 }
 
-/** Codes of connection errors that arise before any byte is sent. */
+/** Codes of connection errors that occur before any byte is sent. */
 const NOT_SENT_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -56,10 +56,11 @@
 ]);
 
 /**
- * Decides whether a failed exchange may have reached its peer.
+ * Determines whether a failed request may have reached the peer.
  *
  * @param cause The error thrown by the HTTP client.
- * @returns `not_sent` only when no byte can have left this process.
+ * @returns `not_sent` where certainly no byte left this process, otherwise
+ *   `unknown`.
  */
 export function classifyTransportError(cause: unknown): FailureKind {
   const code = (cause as { code?: unknown } | undefined)?.code;
@@ -68,8 +69,8 @@
 }
 
 /**
- * @param cause Anything thrown.
- * @returns A one-line text for logs.
+ * @param cause Any thrown value.
+ * @returns A description for logs.
  */
 export function describeError(cause: unknown): string {
   if (cause instanceof StepError) {
--- a/src/runtime/hash.ts
+++ b/src/runtime/hash.ts
@@ -1,5 +1,5 @@
 /**
- * Stable hashing and weighted rendezvous choice.
+ * Stable hashes and weighted rendezvous hashing.
  *
  * @module
  */
@@ -8,8 +8,10 @@
 const UINT32_RANGE = 0x1_0000_0000;
 
 /**
- * @param text What to hash.
- * @param seed Separates uses from each other.
+ * Hashes a text to the unit interval.
+ *
+ * @param text The text to hash.
+ * @param seed Seed that makes the hashes of independent uses independent.
  * @returns A number in (0, 1), the same in every process.
  */
 export function hashToUnit(text: string, seed = 0): number {
@@ -17,19 +19,19 @@
 }
 
 /**
- * @param text What to hash.
- * @returns A whole number of 32 bits, the same in every process.
+ * @param text The text to hash.
+ * @returns An unsigned 32-bit integer, the same in every process.
  */
 export function hashToUint32(text: string): number {
   return xxHash32(text);
 }
 
 /**
- * Hashes two hashes to one: the last step of MurmurHash3 on both. 30 times
- * faster than hashing two texts that are put together.
+ * Combines two hashes with the finalizer of MurmurHash3. This is 30 times as
+ * fast as hashing the concatenation of two texts.
  *
- * @param a A whole number of 32 bits.
- * @param b Another.
+ * @param a A 32-bit integer.
+ * @param b Another 32-bit integer; the order of the two matters.
  * @returns A number in (0, 1), the same in every process.
  */
 export function mixToUnit(a: number, b: number): number {
@@ -40,21 +42,22 @@
   return ((mixed >>> 0) + 0.5) / UINT32_RANGE;
 }
 
-/** A candidate of a rendezvous choice. */
+/** A candidate of weighted rendezvous hashing. */
 export interface WeightedCandidate {
   id: string;
-  /** Relative share; 0 or less is never chosen. */
+  /** Relative share of the keys; candidates with 0 or less get none. */
   weight: number;
 }
 
 /**
- * Weighted rendezvous hashing: a change of weights moves only keys whose share
- * it must. Source: Schindelhauer and Schomaker, "Weighted distributed hash
- * tables" (2005), logarithmic method.
+ * Ranks candidates for a key by weighted rendezvous hashing: a change of
+ * weights moves only as many keys as the new shares require. Source:
+ * Schindelhauer and Schomaker, "Weighted distributed hash tables" (2005),
+ * logarithmic method.
  *
- * @param key What is to be placed.
- * @param candidates Where it may go.
- * @returns The candidates with weight above 0, best first.
+ * @param key The key to place.
+ * @param candidates Candidates for the key.
+ * @returns The candidates with a weight above 0, best first.
  */
 export function rankByRendezvous<T extends WeightedCandidate>(
   key: string,
--- a/src/runtime/hash_hex.ts
+++ b/src/runtime/hash_hex.ts
@@ -1,5 +1,5 @@
 /**
- * Longer hashes, by a library whose WebAssembly is waited for.
+ * 64-bit hashes, computed by a WebAssembly library that loads asynchronously.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 const hasher = await xxhash();
 
 /**
- * @param text What to hash.
- * @returns 16 hexadecimal digits.
+ * @param text The text to hash.
+ * @returns The xxHash64 of the text as 16 hexadecimal digits.
  */
 export function hashToHex(text: string): string {
   return hasher.h64ToString(text);
--- a/src/runtime/http_server.ts
+++ b/src/runtime/http_server.ts
@@ -1,5 +1,6 @@
 /**
- * HTTP listeners on polka: bounded bodies, problem documents, graceful close.
+ * HTTP servers with polka routers: limited body sizes, problem documents and
+ * graceful shutdown.
  *
  * @module
  */
@@ -10,23 +11,23 @@
 import { splitAddress } from "./address.ts";
 import { StepError } from "./errors.ts";
 
-/** Bodies above this size are refused. */
+/** Largest request body that is accepted. */
 export const MAX_BODY_BYTES = 1_048_576;
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 15_000;
-/** How often slow connections are looked for. */
-const SLOW_CHECK_MS = 1_000;
+/** Interval between checks for connections that exceeded a timeout. */
+const SLOW_CONNECTION_CHECK_INTERVAL_MS = 1_000;
 const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 const MAX_HEADER_BYTES = 16_384;
 
 /** A listening server. */
 export interface HttpServer {
-  /** `host:port` that it listens on. */
+  /** `host:port` that the server listens on. */
   address: string;
   server: Server;
-  /** Asks callers, with each answer, to close their connection. */
+  /** Sends `connection: close` with each response from now on. */
   startClosing(): void;
-  /** Refuses new connections, waits for running requests, then resolves. */
+  /** Stops accepting connections; resolves when all requests have ended. */
   close(): Promise<void>;
 }
 
@@ -35,35 +36,40 @@
   status: number;
   title: string;
   detail: string;
-  /** Whether the request ran; set on answers to callers. */
+  /** Whether the request may have run; set in answers to callers. */
   outcome?: "not_run" | "unknown";
-  /** When to come back, in seconds. */
+  /** Delay before the request may be sent again, in seconds. */
   retryAfterS?: number;
-  /** Further members, such as both sides of a conflict. */
+  /** Additional members of the document, such as both sides of a conflict. */
   extra?: Record<string, unknown>;
 }
 
-/** Ways to add a route or middleware, all wrapped alike. */
-const ROUTE_METHODS = ["use", "get", "put", "post", "all"] as const;
+/** Methods of the router whose handlers are wrapped. */
+const WRAPPED_METHODS = ["use", "get", "put", "post", "all"] as const;
 
-/** @returns A router with problem documents for errors and unknown paths. */
+/**
+ * @returns A router that answers errors of handlers, rejected promises
+ *   included, and unknown paths with problem documents.
+ */
 export function createRouter(): Polka {
-  const router = createBareRouter();
-  for (const method of ROUTE_METHODS) {
+  const router = createUnwrappedRouter();
+  for (const method of WRAPPED_METHODS) {
     const add = router[method].bind(router) as (...args: unknown[]) => Polka;
-    const addGuarded = (...args: unknown[]) =>
+    const addWrapped = (...args: unknown[]) =>
       add(
         ...args.map((arg) =>
-          typeof arg === "function" ? guard(arg as Handler) : arg
+          typeof arg === "function" ? forwardErrors(arg as Handler) : arg
         ),
       );
-    Object.assign(router, { [method]: addGuarded });
+    Object.assign(router, { [method]: addWrapped });
   }
   return router;
 }
 
-/** polka does not look at what handlers return: their failures would be lost. */
-function guard(handler: Handler): Handler {
+/**
+ * Forwards rejected promises of a handler, which polka ignores, to `onError`.
+ */
+function forwardErrors(handler: Handler): Handler {
   return async (request, response, next) => {
     try {
       await handler(request, response, next);
@@ -73,7 +79,7 @@
   };
 }
 
-function createBareRouter(): Polka {
+function createUnwrappedRouter(): Polka {
   return polka({
     onError(error, _request, response) {
       const status = error instanceof StepError && error.kind === "invalid"
@@ -97,25 +103,25 @@
 }
 
 /**
- * Opens a listener.
+ * Starts an HTTP server.
  *
  * @param router The routes to serve.
- * @param address `host:port`; port 0 takes a free one.
+ * @param address `host:port`; port 0 chooses a free port.
  * @returns The listening server.
- * @throws StepError of kind `invalid` when the address can't be bound.
+ * @throws StepError of kind `invalid` where the address can't be bound.
  */
 export function listen(router: Polka, address: string): Promise<HttpServer> {
   const { host, port } = splitAddress(address);
-  let closing = false;
+  let isClosing = false;
   const server = createServer({
     headersTimeout: HEADERS_TIMEOUT_MS,
     requestTimeout: REQUEST_TIMEOUT_MS,
-    connectionsCheckingInterval: SLOW_CHECK_MS,
+    connectionsCheckingInterval: SLOW_CONNECTION_CHECK_INTERVAL_MS,
     keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     maxHeaderSize: MAX_HEADER_BYTES,
     noDelay: true,
   }, (request, response) => {
-    if (closing) response.setHeader("connection", "close");
+    if (isClosing) response.setHeader("connection", "close");
     router.handler(request, response);
   });
   return new Promise((resolve, reject) => {
@@ -135,7 +141,7 @@
       resolve({
         address: `${host}:${bound.port}`,
         server,
-        startClosing: () => void (closing = true),
+        startClosing: () => void (isClosing = true),
         close: () => closeServer(server),
       });
     });
@@ -150,12 +156,13 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads the whole body of a request.
  *
  * @param request The incoming request.
- * @param maxBytes The largest body accepted.
+ * @param maxBytes Largest body that is accepted, in bytes.
  * @returns The body.
- * @throws StepError of kind `invalid` when it is too large or cut short.
+ * @throws StepError of kind `invalid` where the body is too large; the error of
+ *   the stream where the connection breaks.
  */
 export async function readBody(
   request: Request,
@@ -178,11 +185,11 @@
 }
 
 /**
- * Reads a body of JSON.
+ * Reads a JSON body.
  *
  * @param request The incoming request.
- * @returns The parsed value, unchecked.
- * @throws StepError of kind `invalid` when it is not JSON.
+ * @returns The parsed value, not validated.
+ * @throws StepError of kind `invalid` where the body is too large or not JSON.
  */
 export async function readJson(request: Request): Promise<unknown> {
   const body = await readBody(request);
@@ -199,11 +206,11 @@
 }
 
 /**
- * Sends JSON.
+ * Sends a JSON response; does nothing where the response has ended.
  *
- * @param response Where to send it.
- * @param body The value.
- * @param status The status code.
+ * @param response The response.
+ * @param body The value to send.
+ * @param status The HTTP status code.
  */
 export function sendJson(
   response: ServerResponse,
@@ -220,10 +227,10 @@
 }
 
 /**
- * Sends a problem document.
+ * Sends a problem document; does nothing where the headers were sent already.
  *
- * @param response Where to send it.
- * @param problem What is wrong.
+ * @param response The response.
+ * @param problem The problem.
  */
 export function sendProblem(response: ServerResponse, problem: Problem): void {
   if (response.headersSent || response.destroyed) return;
@@ -241,8 +248,8 @@
 
 /**
  * @param request The incoming request.
- * @param name The header, in lower case.
- * @returns Its single value, if any.
+ * @param name Name of the header, in lower case.
+ * @returns The first value of the header, if any.
  */
 export function getHeader(request: Request, name: string): string | undefined {
   const value = request.headers[name];
@@ -251,8 +258,8 @@
 
 /**
  * @param request The incoming request.
- * @param name A query parameter.
- * @returns Its first value, if any.
+ * @param name Name of the query parameter.
+ * @returns The first value of the parameter, if any.
  */
 export function getQuery(request: Request, name: string): string | undefined {
   const value = request.query?.[name];
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,27 +1,27 @@
 /**
- * The one logger: `debug` namespaces with a level, a step and a peer.
+ * The logger of the daemons: `debug` namespaces with structured fields.
  *
- * Namespaces read `hawthorngw:<slice>:<level>`. Errors and warnings are shown
- * unless the environment's `DEBUG` says otherwise.
+ * Namespaces have the form `hawthorngw:<component>:<level>`. Errors and
+ * warnings are shown unless the environment variable `DEBUG` is set.
  *
  * @module
  */
 import process from "node:process";
 import debug from "debug";
 
-/** How grave a line is. */
+/** Severity of a log line. */
 export type LogLevel = "error" | "warn" | "info" | "debug";
 
-/** Structured part of a log line. */
+/** Structured fields of a log line. */
 export interface LogFields {
-  /** What was being done. */
+  /** Step in which the event occurred, such as `peer.receive`. */
   step?: string;
-  /** With whom. */
+  /** Address or id of the peer; `self` where no peer took part. */
   peer?: string;
   [field: string]: unknown;
 }
 
-/** Writes log lines of one slice. */
+/** Writes the log lines of one component, with a method for each level. */
 export type Logger = Record<
   LogLevel,
   (message: string, fields?: LogFields) => void
@@ -33,12 +33,12 @@
 if (process.env.DEBUG === undefined) debug.enable(DEFAULT_NAMESPACES);
 
 /**
- * @param slice The slice that logs, for instance `steering`.
- * @returns Its logger.
+ * @param component Name of the component that logs, such as `steering`.
+ * @returns The logger of the component.
  */
-export function createLogger(slice: string): Logger {
+export function createLogger(component: string): Logger {
   const entries = LEVELS.map((level) => {
-    const write = debug(`hawthorngw:${slice}:${level}`);
+    const write = debug(`hawthorngw:${component}:${level}`);
     return [level, (message: string, fields: LogFields = {}) => {
       if (write.enabled) write("%s %o", message, fields);
     }];
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -1,36 +1,36 @@
 /**
- * Counters, gauges and timings, sent by `hot-shots` over UDP.
+ * Counters, gauges and timings, sent to a StatsD server over UDP.
  *
  * @module
  */
 import { StatsD } from "hot-shots";
 import type { HostPort } from "./address.ts";
 
-/** What a slice may report. */
+/** Reports the metrics of one process. */
 export interface Metrics {
-  /** Adds one to a counter. */
+  /** Increments a counter by one. */
   count(name: string, tags?: Record<string, string>): void;
-  /** Sets a gauge. */
+  /** Sets a gauge; the unit is part of its name. */
   gauge(name: string, value: number, tags?: Record<string, string>): void;
-  /** Records a duration in ms. */
+  /** Records a duration, in ms. */
   timing(name: string, durationMs: number, tags?: Record<string, string>): void;
   /** Flushes and closes the socket. */
   close(): void;
 }
 
 /**
- * @param sink Where a StatsD server listens; absent, nothing is sent.
- * @param processTags Tags on every metric of this process.
- * @returns The process's metrics.
+ * @param statsdAddress Address of the StatsD server; undefined sends nothing.
+ * @param processTags Tags of every metric of this process.
+ * @returns The metrics of the process.
  */
 export function createMetrics(
-  sink: HostPort | undefined,
+  statsdAddress: HostPort | undefined,
   processTags: Record<string, string> = {},
 ): Metrics {
-  if (sink === undefined) return createSilentMetrics();
+  if (statsdAddress === undefined) return createSilentMetrics();
   const client = new StatsD({
-    host: sink.host,
-    port: sink.port,
+    host: statsdAddress.host,
+    port: statsdAddress.port,
     prefix: "hawthorngw.",
     globalTags: processTags,
     errorHandler: () => {},
@@ -43,7 +43,7 @@
   };
 }
 
-/** @returns Metrics that go nowhere. */
+/** @returns Metrics that are discarded. */
 export function createSilentMetrics(): Metrics {
   return { count() {}, gauge() {}, timing() {}, close() {} };
 }
--- a/src/runtime/overload.ts
+++ b/src/runtime/overload.ts
@@ -1,67 +1,79 @@
 /**
- * Whether this process gets too little processor time for what it has to do.
+ * Detects overload of this process from the utilization of its event loop.
  *
  * @module
  */
 import { performance } from "node:perf_hooks";
 import type { Clock } from "./clock.ts";
 
-/** Watches how much of its time the loop is busy. */
-export interface OverloadWatch {
-  /** @returns Whether the process falls behind. */
+/** Measures the utilization of the event loop. */
+export interface OverloadMonitor {
+  /** @returns Whether the process is overloaded. */
   isOverloaded(): boolean;
+  /** Stops the measurements. */
   stop(): void;
 }
 
-/** How often the loop's use is measured. */
-const PERIOD_MS = 250;
+const MEASUREMENT_INTERVAL_MS = 250;
 /**
- * Part of the time above which connections wait to be read: the loop hardly
- * ever finds nothing to do. Timers tell nothing of it, they fire on time while
- * connections wait for two seconds.
+ * Event loop utilization from which connections wait to be read, since the loop
+ * is hardly ever idle. The delay of timers doesn't show this: they fire on time
+ * while connections wait for two seconds.
  */
-const BUSY_PART = 0.95;
-/** Measurements in a row that make an overload; a start takes one or two. */
-const BUSY_LIMIT = 3;
-/** Part of the time below which an overload is over. */
-const CALM_PART = 0.8;
-/** Calm measurements in a row that end it: two seconds, as long as clients wait. */
-const CALM_LIMIT = 8;
+const OVERLOAD_UTILIZATION = 0.95;
+/**
+ * Consecutive measurements that signal overload; startup alone causes one or
+ * two.
+ */
+const MIN_OVERLOAD_MEASUREMENTS = 3;
+/** Event loop utilization below which the process recovers from overload. */
+const RECOVERY_UTILIZATION = 0.8;
+/** Consecutive measurements that end overload: 2 s, as long as clients wait. */
+const MIN_RECOVERY_MEASUREMENTS = 8;
 
 /**
+ * Starts to measure the utilization of the event loop.
+ *
  * @param clock The clock.
- * @param onChange Called with each change and the use of the loop, 0 to 1.
- * @param readUse Use of the loop since the last reading.
- * @returns The running watch.
+ * @param onChange Called when overload begins or ends, with the event loop
+ *   utilization, 0 to 1.
+ * @param readUtilization Returns the event loop utilization since the previous
+ *   call, 0 to 1.
+ * @returns The running monitor.
  */
-export function watchOverload(
+export function startOverloadMonitor(
   clock: Clock,
-  onChange: (isOverloaded: boolean, use: number) => void,
-  readUse: () => number = createUseReader(),
-): OverloadWatch {
+  onChange: (isOverloaded: boolean, utilization: number) => void,
+  readUtilization: () => number = createUtilizationReader(),
+): OverloadMonitor {
   let isOverloaded = false;
-  let inRow = 0;
+  let consecutiveCount = 0;
 
   function measure(): void {
-    const use = readUse();
-    const isChanging = isOverloaded ? use < CALM_PART : use >= BUSY_PART;
-    inRow = isChanging ? inRow + 1 : 0;
-    if (inRow < (isOverloaded ? CALM_LIMIT : BUSY_LIMIT)) return;
+    const utilization = readUtilization();
+    const isChanging = isOverloaded
+      ? utilization < RECOVERY_UTILIZATION
+      : utilization >= OVERLOAD_UTILIZATION;
+    consecutiveCount = isChanging ? consecutiveCount + 1 : 0;
+    if (
+      consecutiveCount <
+        (isOverloaded ? MIN_RECOVERY_MEASUREMENTS : MIN_OVERLOAD_MEASUREMENTS)
+    ) return;
     isOverloaded = !isOverloaded;
-    inRow = 0;
-    onChange(isOverloaded, use);
+    consecutiveCount = 0;
+    onChange(isOverloaded, utilization);
   }
 
-  const timer = clock.every(PERIOD_MS, measure);
+  const timer = clock.every(MEASUREMENT_INTERVAL_MS, measure);
   return { isOverloaded: () => isOverloaded, stop: () => timer.cancel() };
 }
 
-function createUseReader(): () => number {
-  let last = performance.eventLoopUtilization();
+function createUtilizationReader(): () => number {
+  let previous = performance.eventLoopUtilization();
   return () => {
     const now = performance.eventLoopUtilization();
-    const { utilization } = performance.eventLoopUtilization(now, last);
-    last = now;
+    const { utilization } = performance.eventLoopUtilization(now, previous);
+    previous = now;
     return utilization;
   };
 }
--- a/src/runtime/overload_test.ts
+++ b/src/runtime/overload_test.ts
@@ -1,29 +1,34 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { createFakeClock } from "./clock.ts";
-import { watchOverload } from "./overload.ts";
+import { startOverloadMonitor } from "./overload.ts";
 
-test("a loop that is busy again and again is an overload, once is not", () => {
+test("only a persistently busy event loop counts as overload", () => {
   const clock = createFakeClock();
-  let use = 0.3;
+  let utilization = 0.3;
   const changes: boolean[] = [];
-  const note = (next: boolean) => void changes.push(next);
-  const watch = watchOverload(clock, note, () => use);
+  const recordChange = (isOverloaded: boolean) =>
+    void changes.push(isOverloaded);
+  const monitor = startOverloadMonitor(
+    clock,
+    recordChange,
+    () => utilization,
+  );
   const run = (next: number, durationMs: number) => {
-    use = next;
+    utilization = next;
     clock.advance(durationMs);
   };
   run(1, 500);
   run(0.3, 250);
   assert.equal(changes, []);
   run(1, 750);
-  assert.ok(watch.isOverloaded());
+  assert.ok(monitor.isOverloaded());
   run(0.5, 1_750);
   run(0.9, 250);
-  assert.ok(watch.isOverloaded());
+  assert.ok(monitor.isOverloaded());
   run(0.5, 2_000);
   assert.equal(changes, [true, false]);
-  watch.stop();
+  monitor.stop();
 });
 
 test.run();
--- a/src/runtime/peer_link.ts
+++ b/src/runtime/peer_link.ts
@@ -1,5 +1,5 @@
 /**
- * Links between processes: WebSocket frames of MessagePack.
+ * Links between processes: WebSocket connections with MessagePack frames.
  *
  * @module
  */
@@ -14,118 +14,130 @@
 import { describeError } from "./errors.ts";
 import { createLogger } from "./logger.ts";
 
-/** Path of the upgrade request. */
+/** Path of the WebSocket upgrade request. */
 export const PEER_PATH = "/v1/peer";
 const MAX_FRAME_BYTES = 4_194_304;
-/** A link whose unsent data exceeds this gets no further messages. */
+/** Messages are dropped while a link has more unsent data than this. */
 const MAX_UNSENT_BYTES = 8_388_608;
-const RECONNECT_MS = 400;
+const RECONNECT_DELAY_MS = 400;
 
 const log = createLogger("control");
 
-/** A message of any set of messages; `kind` tells them apart. */
+/** Base type of all messages, which are distinguished by `kind`. */
 export interface LinkMessage {
   kind: string;
 }
 
-/** Checks a received message and tells its type. */
+/** Schema that validates received messages. */
 export type MessageSchema<M extends LinkMessage> = z.ZodType<M>;
 
 /** One side of a link. */
 export interface PeerLink<M extends LinkMessage> {
-  /** Address of the other side, for logs. */
+  /** Address of the peer, for logs. */
   peer: string;
-  /** Sends a message; dropped where the link is closed or congested. */
+  /** Sends a message, or drops it where the link is closed or congested. */
   send(message: M): void;
-  /** Sends a message that was encoded for many links. */
+  /**
+   * Sends a message that was encoded once for many links, or drops it like
+   * `send`.
+   *
+   * @param kind Kind of the message, for the traffic counters.
+   * @param frame The frame of {@link encodeBroadcastFrame}.
+   */
   sendFrame(kind: M["kind"], frame: Uint8Array): void;
+  /** Closes the link at once. */
   close(): void;
 }
 
-const SELF_CONTAINED = { useRecords: false, variableMapSize: true };
-const broadcastPackr = new Packr({ ...SELF_CONTAINED });
+const SELF_CONTAINED_OPTIONS = { useRecords: false, variableMapSize: true };
+const broadcastPackr = new Packr({ ...SELF_CONTAINED_OPTIONS });
 
 /**
  * Encodes a message once for all self-contained links.
  *
  * @param message The message.
- * @returns Its frame.
+ * @returns The encoded frame.
  */
-export function encodeBroadcast<M extends LinkMessage>(
+export function encodeBroadcastFrame<M extends LinkMessage>(
   message: M,
 ): Uint8Array {
   return broadcastPackr.pack(message);
 }
 
-/** What happens on links. */
+/** Callbacks for the events of links. */
 export interface LinkEvents<M extends LinkMessage> {
   onOpen(link: PeerLink<M>): void;
   onMessage(link: PeerLink<M>, message: M): void;
-  /** @param reason Why, for logs. */
+  /** @param reason Reason why the link closed, for logs. */
   onClose(link: PeerLink<M>, reason: string): void;
 }
 
-/** What both sides of a link need. */
+/** Options of both sides of a link. */
 export interface LinkOptions<M extends LinkMessage> {
   /**
-   * The key that links must carry; absent where only this system's processes
-   * can reach the address.
+   * Key that links must present; absent where only processes of this system can
+   * reach the address.
    */
   key?: string;
   schema: MessageSchema<M>;
   events: LinkEvents<M>;
   /**
-   * Whether each frame can be read without those before it, as frames have to
-   * be that are encoded once for many links. The two forms can't be mixed: one
-   * uses numbers from 64 to 127 for names of fields.
+   * Whether each frame can be decoded without the previous ones, which is
+   * required for frames that are encoded once for many links. The two encodings
+   * can't be mixed on a link: one uses the numbers 64 to 127 as references to
+   * field names.
    */
   isSelfContained?: boolean;
 }
 
-/** Bytes that passed over this process's links. */
+/** Traffic on the links of this process, in bytes. */
 export interface LinkTraffic {
   sentBytes: number;
   receivedBytes: number;
-  /** Bytes sent, by kind of message. */
+  /** Bytes sent, by message kind. */
   sentByKind: Partial<Record<string, number>>;
 }
 
-/** Totals since the process started. */
+/** Traffic since the process started. */
 export const linkTraffic: LinkTraffic = {
   sentBytes: 0,
   receivedBytes: 0,
   sentByKind: {},
 };
 
-function countSent(kind: string, bytes: number): void {
+function recordSent(kind: string, bytes: number): void {
   linkTraffic.sentBytes += bytes;
   const { sentByKind } = linkTraffic;
   sentByKind[kind] = (sentByKind[kind] ?? 0) + bytes;
 }
 
-/** Turns messages of one link into frames and back. */
+/** Encodes and decodes the messages of one link. */
 export interface LinkCodec<M extends LinkMessage> {
   encode(message: M): Uint8Array;
-  /** @returns The message, or undefined where the frame is malformed. */
+  /** @returns The message; undefined where the frame is malformed. */
   decode(frame: Uint8Array): M | undefined;
 }
 
 /**
- * Names of fields travel once on a link and are referred to after that, so a
- * codec belongs to one link and frames must arrive in order.
+ * Creates a codec for one link. Field names are sent once per link and
+ * referenced afterwards, so a codec can't be shared and frames must arrive in
+ * order.
  *
- * @param schema Checks received messages.
- * @param isSelfContained Whether names travel with each frame instead.
+ * @param schema Schema of received messages.
+ * @param isSelfContained Whether each frame contains its field names instead.
  * @returns A codec for a new link.
  */
 export function createLinkCodec<M extends LinkMessage>(
   schema: MessageSchema<M>,
   isSelfContained = false,
 ): LinkCodec<M> {
-  const form = isSelfContained ? SELF_CONTAINED : { sequential: true };
-  // Copies: both would keep the names that they saw in one options object.
-  const packr = new Packr({ ...form });
-  const unpackr = new Unpackr({ ...form });
+  const packrOptions = isSelfContained
+    ? SELF_CONTAINED_OPTIONS
+    : { sequential: true };
+  // Separate copies: each codec stores the field names that it has seen in its
+  // options object.
+  const packr = new Packr({ ...packrOptions });
+  const unpackr = new Unpackr({ ...packrOptions });
   return {
     encode: (message) => packr.pack(message),
     decode(frame) {
@@ -145,7 +157,7 @@
   { schema, events, isSelfContained }: LinkOptions<M>,
 ): PeerLink<M> {
   const codec = createLinkCodec(schema, isSelfContained);
-  let reason = "closed by the other side";
+  let reason = "closed by the peer";
 
   function canSend(): boolean {
     return socket.readyState === WebSocket.OPEN &&
@@ -153,7 +165,7 @@
   }
 
   function write(kind: string, frame: Uint8Array): void {
-    countSent(kind, frame.length);
+    recordSent(kind, frame.length);
     socket.send(frame);
   }
 
@@ -166,7 +178,7 @@
       if (canSend()) write(kind, frame);
     },
     close() {
-      reason = "closed here";
+      reason = "closed by this process";
       socket.terminate();
     },
   };
@@ -188,10 +200,11 @@
 }
 
 /**
- * Accepts links on a listening server.
+ * Accepts links on a listening HTTP server. Upgrade requests for another path
+ * or without the key are rejected with 401.
  *
- * @param server The peer address's server.
- * @param options Key, messages and what happens on links.
+ * @param server The HTTP server of the peer address.
+ * @param options Key, message schema and callbacks.
  */
 export function acceptLinks<M extends LinkMessage>(
   server: Server,
@@ -202,13 +215,13 @@
     noServer: true,
     maxPayload: MAX_FRAME_BYTES,
   });
-  server.on("upgrade", (request: IncomingMessage, raw: Duplex, head) => {
+  server.on("upgrade", (request: IncomingMessage, stream: Duplex, head) => {
     const isAllowed = key === undefined || hasKey(request, key);
     if (request.url !== PEER_PATH || !isAllowed) {
-      raw.end("HTTP/1.1 401 Unauthorized\r\ncontent-length: 0\r\n\r\n");
+      stream.end("HTTP/1.1 401 Unauthorized\r\ncontent-length: 0\r\n\r\n");
       return;
     }
-    sockets.handleUpgrade(request, raw, head, (socket) => {
+    sockets.handleUpgrade(request, stream, head, (socket) => {
       const { remoteAddress, remotePort } = request.socket;
       options.events.onOpen(
         wrapSocket(socket, `${remoteAddress}:${remotePort}`, options),
@@ -217,31 +230,32 @@
   });
 }
 
-/** A link that is kept open. */
+/** A link that is reopened until it is closed. */
 export interface DialedLink {
+  /** Closes the link and stops redialling. */
   close(): void;
 }
 
-/** How to dial. */
+/** Options of a dialled link. */
 export interface DialOptions<M extends LinkMessage> extends LinkOptions<M> {
   clock: Clock;
 }
 
 /**
- * Dials a peer and dials again whenever the link is lost.
+ * Opens a link to a peer, and reopens it whenever it is lost.
  *
- * @param address Its peer address, `host:port`.
- * @param options Key, clock and what happens on the link.
- * @returns A handle to stop it.
+ * @param address Peer address, `host:port`.
+ * @param options Clock, key, message schema and callbacks.
+ * @returns A handle that closes the link.
  */
-export function keepLink<M extends LinkMessage>(
+export function maintainLink<M extends LinkMessage>(
   address: string,
   options: DialOptions<M>,
 ): DialedLink {
   const { key, clock, schema, events, isSelfContained } = options;
-  let closed = false;
+  let isClosed = false;
   let socket: WebSocket | undefined;
-  let retry: Timer | undefined;
+  let reconnectTimer: Timer | undefined;
 
   function dial() {
     const dialed = new WebSocket(`ws://${address}${PEER_PATH}`, {
@@ -258,7 +272,7 @@
         ...events,
         onClose(closedLink, reason) {
           events.onClose(closedLink, reason);
-          if (!closed) retry = clock.after(RECONNECT_MS, dial);
+          if (!isClosed) reconnectTimer = clock.after(RECONNECT_DELAY_MS, dial);
         },
       },
     });
@@ -268,8 +282,8 @@
   dial();
   return {
     close() {
-      closed = true;
-      retry?.cancel();
+      isClosed = true;
+      reconnectTimer?.cancel();
       socket?.terminate();
     },
   };
--- a/src/runtime/polka.d.ts
+++ b/src/runtime/polka.d.ts
@@ -1,8 +1,8 @@
-/** The part of polka that this project uses; the package ships no types. */
+/** Types of the parts of polka in use; the package ships none. */
 declare module "polka" {
   import type { IncomingMessage, Server, ServerResponse } from "node:http";
 
-  /** A request as polka's router hands it on. */
+  /** A request as polka's router passes it to handlers. */
   export interface Request extends IncomingMessage {
     params: Record<string, string>;
     path: string;
@@ -16,7 +16,7 @@
     response: ServerResponse,
     next: Next,
   ) => void | Promise<void>;
-  /** A router bound to a server. */
+  /** A router and the server that it is attached to. */
   export interface Polka {
     use(...handlers: Handler[]): Polka;
     get(path: string, handler: Handler): Polka;
--- a/src/runtime/process.ts
+++ b/src/runtime/process.ts
@@ -1,5 +1,5 @@
 /**
- * The frame of every binary: arguments, exit codes, graceful shutdown.
+ * Common to all daemons: arguments, exit codes and graceful shutdown.
  *
  * @module
  */
@@ -14,33 +14,38 @@
 export const EXIT_CODES = {
   ok: 0,
   failure: 1,
-  /** Arguments, settings or a document are not acceptable. */
+  /** Arguments, settings or a document are invalid. */
   usage: 2,
-  /** Another edit came first. */
+  /** A concurrent edit was applied first. */
   conflict: 3,
-  /** Whether it took effect is not known. */
+  /** It is unknown whether the command took effect. */
   unknown: 4,
 } as const;
 
-/** Something that runs until it is stopped. */
+/** A running component that can be stopped. */
 export interface Stoppable {
-  /** Finishes what is in flight, then resolves. */
+  /** Stops gracefully; resolves when the work in progress is finished. */
   stop(): Promise<void>;
 }
 
-/** A daemon, started in a process of its own or, in tests, beside others. */
+/**
+ * A daemon. It runs in its own process or, in tests, with others in one
+ * process.
+ */
 export interface Daemon extends Stoppable {
-  /** Resolves when a newer process is seen to have taken this one's place. */
+  /** Resolves when this process finds that a newer one has replaced it. */
   replaced: Promise<void>;
-  /** Stops at once, as a crash would: connections break. */
+  /** Stops at once like a crash, without closing connections gracefully. */
   kill(): Promise<void>;
 }
 
 /**
- * Runs a daemon until SIGTERM or SIGINT, then stops it gracefully.
+ * Runs a daemon until SIGTERM, SIGINT or its replacement, then stops it
+ * gracefully and exits the process. Where the daemon can't start, the process
+ * exits with a code of {@link EXIT_CODES}.
  *
- * @param name Name of the binary, for `--help`.
- * @param start Starts it from the path of its settings file.
+ * @param name Name of the binary, for `--help` and error messages.
+ * @param start Starts the daemon, given the path of its settings file.
  */
 export async function runDaemon(
   name: string,
@@ -55,10 +60,10 @@
     const isInvalid = cause instanceof StepError && cause.kind === "invalid";
     process.exit(isInvalid ? EXIT_CODES.usage : EXIT_CODES.failure);
   }
-  let stopping = false;
+  let isStopping = false;
   const stop = async () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     await daemon.stop();
     process.exit(EXIT_CODES.ok);
   };
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded randomness, passed in wherever a decision is random.
+ * Seeded random numbers, passed as a dependency to all code that needs them.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 /** @returns A number in [0, 1). */
 export type Random = () => number;
 
-/** The generator's first numbers are alike for all small seeds. */
+/** Numbers to skip: the first ones are similar for all small seeds. */
 const SKIPPED_NUMBERS = 32;
 
 /**
  * @param seed Any integer; the same seed gives the same sequence.
- * @returns The random source.
+ * @returns The generator.
  */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
@@ -24,8 +24,8 @@
 
 /**
  * @param random The random source.
- * @param mean The mean of the distribution, in any unit.
- * @returns A draw of the exponential distribution.
+ * @param mean Mean of the distribution, in any unit.
+ * @returns A sample of the exponential distribution, in the unit of the mean.
  */
 export function drawExponential(random: Random, mean: number): number {
   return -mean * Math.log(1 - random());
@@ -34,7 +34,7 @@
 /**
  * @param random The random source.
  * @param items Items to choose from; not empty.
- * @returns One of them.
+ * @returns A uniformly chosen item.
  */
 export function pick<T>(random: Random, items: readonly T[]): T {
   return items[Math.floor(random() * items.length)];
--- a/src/runtime/random_test.ts
+++ b/src/runtime/random_test.ts
@@ -2,11 +2,12 @@
 import { test } from "uvu";
 import { createRandom } from "./random.ts";
 
-test("first numbers of small seeds differ and are spread", () => {
+test("generators with small seeds start with distinct, spread numbers", () => {
   const seeds = Array.from({ length: 200 }, (_, seed) => seed);
-  const first = seeds.map((seed) => createRandom(seed)());
-  assert.is(new Set(first).size, seeds.length);
-  const mean = first.reduce((sum, value) => sum + value, 0) / first.length;
+  const firstNumbers = seeds.map((seed) => createRandom(seed)());
+  assert.is(new Set(firstNumbers).size, seeds.length);
+  const mean = firstNumbers.reduce((sum, value) => sum + value, 0) /
+    firstNumbers.length;
   assert.ok(Math.abs(mean - 0.5) < 0.1, `mean ${mean}`);
 });
 
--- a/src/runtime/retry_after.ts
+++ b/src/runtime/retry_after.ts
@@ -1,25 +1,27 @@
 /**
- * The header that says when to come back (RFC 9110, 10.2.3).
+ * Parses the `retry-after` header (RFC 9110, section 10.2.3).
  *
  * @module
  */
 
 const DECIMAL_SECONDS = /^\d+(\.\d+)?$/;
-/** A longer wait outlives the server or is a mistake. */
-const MAX_WAIT_MS = 600_000;
+/** Longer delays outlast the server instance or are a mistake. */
+const MAX_DELAY_MS = 600_000;
 
 /**
- * @param text The header: seconds, fractions among them, or a date.
- * @param answeredAt The answer's own date, from which a date counts: clocks of
- *   servers may be off.
- * @returns How long to wait; undefined where it says nothing that makes sense.
+ * @param text Value of the header: seconds, with or without a fraction, or a
+ *   date.
+ * @param answeredAt Value of the `date` header of the same response. A date in
+ *   `text` is relative to it, since the clock of the server may be wrong.
+ * @returns The delay in ms, at most 10 minutes; undefined where the value is
+ *   malformed or not in the future.
  */
 export function parseRetryAfterMs(
   text: string,
   answeredAt?: string,
 ): number | undefined {
-  const waitMs = DECIMAL_SECONDS.test(text)
+  const delayMs = DECIMAL_SECONDS.test(text)
     ? Number(text) * 1_000
     : Date.parse(text) - Date.parse(answeredAt ?? "");
-  return waitMs > 0 ? Math.min(waitMs, MAX_WAIT_MS) : undefined;
+  return delayMs > 0 ? Math.min(delayMs, MAX_DELAY_MS) : undefined;
 }
--- a/src/runtime/settings.ts
+++ b/src/runtime/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of the daemons: JSON with comments, checked at start.
+ * Settings of the daemons: JSON with comments, validated at startup.
  *
  * @module
  */
@@ -33,12 +33,13 @@
 export type DaemonSettings = z.infer<typeof daemonSettingsSchema>;
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * @param file Its path.
- * @param schema The schema that it must satisfy.
+ * @param file Path of the file.
+ * @param schema Schema of the settings.
  * @returns The settings.
- * @throws StepError of kind `invalid` that lists every problem.
+ * @throws StepError of kind `invalid` where the file can't be read, or is
+ *   invalid; then it lists every problem.
  */
 export function loadSettings<S extends z.ZodType>(
   file: string,
--- a/src/runtime/xxhash32.ts
+++ b/src/runtime/xxhash32.ts
@@ -1,7 +1,7 @@
 /**
- * xxHash32 of short texts. Written out, since the WebAssembly of a library is
- * only there after a wait, and a program that waits while it loads can't be
- * kept compiled.
+ * xxHash32 of short texts in plain TypeScript. A WebAssembly library would load
+ * asynchronously, and a top-level await rules out the CommonJS bundle whose
+ * compiled code is cached.
  *
  * Source: xxHash fast digest algorithm, specification 0.1.1, section XXH32.
  *
@@ -17,58 +17,67 @@
 const STRIPE_BYTES = 16;
 const LANE_BYTES = 4;
 
-/** Bytes that a character takes at the most. */
-const MAX_CHARACTER_BYTES = 3;
+/** Largest number of UTF-8 bytes per UTF-16 code unit. */
+const MAX_CODE_UNIT_BYTES = 3;
 
-/** Room for a text, read in lanes; these are little-endian, as processors are. */
-interface Room {
+/**
+ * Buffer for an encoded text, with a view of it as 32-bit lanes. The hash is
+ * defined on little-endian lanes, which requires a little-endian processor.
+ */
+interface TextBuffer {
   bytes: Buffer;
   lanes: Int32Array;
 }
 
-/** Most texts are encoded here; longer ones get a room of their own. */
-const scratch = makeRoom(1_024);
+/** Buffer reused for most texts; longer ones get their own. */
+const sharedBuffer = createTextBuffer(1_024);
 
-function makeRoom(sizeBytes: number): Room {
+function createTextBuffer(sizeBytes: number): TextBuffer {
   const lanes = new Int32Array(Math.ceil(sizeBytes / LANE_BYTES));
   return { lanes, bytes: Buffer.from(lanes.buffer) };
 }
 
 /**
- * @param text What to hash, as UTF-8.
- * @param seed Separates uses from each other.
- * @returns A whole number of 32 bits, not negative.
+ * @param text The text, which is hashed as UTF-8.
+ * @param seed Seed of the hash, an integer.
+ * @returns The hash, an unsigned 32-bit integer.
  */
 export function xxHash32(text: string, seed = 0): number {
-  const mostBytes = text.length * MAX_CHARACTER_BYTES;
-  const room = mostBytes > scratch.bytes.length ? makeRoom(mostBytes) : scratch;
-  return hashBytes(room, room.bytes.write(text), seed);
+  const maxBytes = text.length * MAX_CODE_UNIT_BYTES;
+  const buffer = maxBytes > sharedBuffer.bytes.length
+    ? createTextBuffer(maxBytes)
+    : sharedBuffer;
+  return hashBytes(buffer, buffer.bytes.write(text), seed);
 }
 
-function hashBytes({ bytes, lanes }: Room, length: number, seed: number) {
-  let at = 0;
+function hashBytes(
+  { bytes, lanes }: TextBuffer,
+  lengthBytes: number,
+  seed: number,
+) {
+  let offset = 0;
   let hash = seed + PRIME_5 | 0;
-  if (length >= STRIPE_BYTES) {
+  if (lengthBytes >= STRIPE_BYTES) {
     let lane1 = seed + PRIME_1 + PRIME_2 | 0;
     let lane2 = seed + PRIME_2 | 0;
     let lane3 = seed | 0;
     let lane4 = seed - PRIME_1 | 0;
-    for (; at <= length - STRIPE_BYTES; at += STRIPE_BYTES) {
-      lane1 = mixLane(lane1, lanes[at / LANE_BYTES]);
-      lane2 = mixLane(lane2, lanes[at / LANE_BYTES + 1]);
-      lane3 = mixLane(lane3, lanes[at / LANE_BYTES + 2]);
-      lane4 = mixLane(lane4, lanes[at / LANE_BYTES + 3]);
+    for (; offset <= lengthBytes - STRIPE_BYTES; offset += STRIPE_BYTES) {
+      lane1 = mixLane(lane1, lanes[offset / LANE_BYTES]);
+      lane2 = mixLane(lane2, lanes[offset / LANE_BYTES + 1]);
+      lane3 = mixLane(lane3, lanes[offset / LANE_BYTES + 2]);
+      lane4 = mixLane(lane4, lanes[offset / LANE_BYTES + 3]);
     }
     hash = rotate(lane1, 1) + rotate(lane2, 7) + rotate(lane3, 12) +
         rotate(lane4, 18) | 0;
   }
-  hash = hash + length | 0;
-  for (; at <= length - LANE_BYTES; at += LANE_BYTES) {
-    hash = hash + Math.imul(lanes[at / LANE_BYTES], PRIME_3) | 0;
+  hash = hash + lengthBytes | 0;
+  for (; offset <= lengthBytes - LANE_BYTES; offset += LANE_BYTES) {
+    hash = hash + Math.imul(lanes[offset / LANE_BYTES], PRIME_3) | 0;
     hash = Math.imul(rotate(hash, 17), PRIME_4);
   }
-  for (; at < length; at++) {
-    hash = hash + Math.imul(bytes[at], PRIME_5) | 0;
+  for (; offset < lengthBytes; offset++) {
+    hash = hash + Math.imul(bytes[offset], PRIME_5) | 0;
     hash = Math.imul(rotate(hash, 11), PRIME_1);
   }
   return avalanche(hash);
--- a/src/servers/permits_test.ts
+++ b/src/servers/permits_test.ts
@@ -18,7 +18,7 @@
     log: createSilentLog(),
     random: () => 0.5,
     ownId: "vm-1",
-    countKnown: () => 1,
+    countKnownVms: () => 1,
     runTimes,
   });
   rateLimits.record(SERVER.id, ratePerS);
--- a/src/servers/servers_test.ts
+++ b/src/servers/servers_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createFakeClock } from "../runtime/clock.ts";
 import { createColdLimit } from "./cold_limit.ts";
@@ -18,10 +18,10 @@
 
 test("a draining or removed server is not usable", () => {
   const registry = makeRegistry(createFakeClock());
-  registry.apply(makeServerNews(makeServer("1"), 1));
-  registry.apply(makeServerNews(makeServer("2"), 2));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("2"), 2));
   assert.equal(listIds(registry), ["1", "2"]);
-  registry.apply(makeServerNews(makeServer("1", { state: "draining" }), 3));
+  registry.apply(makeServerUpdate(makeServer("1", { state: "draining" }), 3));
   assert.equal(listIds(registry), ["2"]);
   registry.apply({
     topic: "servers",
@@ -33,30 +33,30 @@
 
 test("a server whose address belongs to another one is not usable", () => {
   const registry = makeRegistry(createFakeClock());
-  registry.apply(makeServerNews(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
   registry.markReplaced("1");
   assert.equal(listIds(registry), []);
-  registry.apply(makeServerNews(makeServer("1"), 2));
+  registry.apply(makeServerUpdate(makeServer("1"), 2));
   assert.equal(listIds(registry), []);
 });
 
 test("a server that announced its drain is not usable, whatever the register lists", () => {
   const registry = makeRegistry(createFakeClock());
   const server = makeServer("i-1@1", { registeredName: "i-1" });
-  registry.apply(makeServerNews(server, 1));
+  registry.apply(makeServerUpdate(server, 1));
   const [known] = registry.listUsable("s");
   registry.markDraining(known);
   assert.not(registry.isUsable(known));
-  registry.apply(makeServerNews(server, 2));
+  registry.apply(makeServerUpdate(server, 2));
   assert.equal(listIds(registry), []);
   registry.apply({
     topic: "servers",
     key: "server/i-1",
     version: makeVersion(3),
   });
-  registry.apply(makeServerNews(server, 4));
+  registry.apply(makeServerUpdate(server, 4));
   assert.equal(listIds(registry), []);
-  registry.apply(makeServerNews({ ...server, id: "i-1@2" }, 5));
+  registry.apply(makeServerUpdate({ ...server, id: "i-1@2" }, 5));
   assert.equal(listIds(registry), ["i-1@2"]);
 });
 
@@ -78,14 +78,14 @@
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
   const former = makeServer("i-1@1", { registeredName: "i-1" });
-  registry.apply(makeServerNews(former, 1));
+  registry.apply(makeServerUpdate(former, 1));
   const [before] = registry.listUsable("s");
   before.load.begin();
   before.health.recordOutcome("unreachable");
   before.health.recordOutcome("unreachable");
   registry.markReplaced("i-1@1");
   const next = { ...former, id: "i-1@2", coldLeftMs: 3_000 };
-  registry.apply(makeServerNews(next, 2));
+  registry.apply(makeServerUpdate(next, 2));
   const [after] = registry.listUsable("s");
   assert.is(registry.listAll().length, 1);
   assert.is(after.listed.id, "i-1@2");
@@ -99,9 +99,9 @@
 test("an evacuated domain gets no requests, and is cold after the evacuation", () => {
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
-  registry.apply(makeServerNews(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
   registry.apply(
-    makeServerNews(makeServer("2", { failureDomain: "oslo-b" }), 2),
+    makeServerUpdate(makeServer("2", { failureDomain: "oslo-b" }), 2),
   );
   const item = { topic: "operations", key: "evacuation/oslo-a" } as const;
   const fact = { kind: "evacuation", failureDomain: "oslo-a" } as const;
@@ -115,7 +115,7 @@
 
 test("a server in an unknown failure domain is ignored", () => {
   const registry = makeRegistry(createFakeClock());
-  registry.apply(makeServerNews(makeServer("1", { failureDomain: "x" }), 1));
+  registry.apply(makeServerUpdate(makeServer("1", { failureDomain: "x" }), 1));
   assert.equal(listIds(registry), []);
 });
 
--- a/src/serving/attempt_observer_test.ts
+++ b/src/serving/attempt_observer_test.ts
@@ -4,7 +4,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createCacheSizeEstimator } from "../placement/cache_size.ts";
@@ -21,7 +21,7 @@
 function startObserver() {
   const clock = createFakeClock();
   const registry = makeRegistry(clock);
-  registry.apply(makeServerNews(makeServer("1"), 1));
+  registry.apply(makeServerUpdate(makeServer("1"), 1));
   const [server] = registry.listUsable("s");
   const cacheModel = createObjectCacheModel();
   const cacheSizeEstimator = createCacheSizeEstimator();
--- a/src/serving/front_server.ts
+++ b/src/serving/front_server.ts
@@ -150,7 +150,7 @@
     const checked = callerCheck.check(table, route, metadata);
     const finish = (result: ServeResult) => {
       const tookMs = clock.monotonicMs() - arrivedAtMs;
-      metrics.noteRequest(route, result, tookMs);
+      metrics.recordRequest(route, result, tookMs);
       sendResult(response, result, {
         requestId: metadata.requestId,
         route: route.name,
--- a/src/serving/placer_test.ts
+++ b/src/serving/placer_test.ts
@@ -3,7 +3,7 @@
 import {
   makeRegistry,
   makeServer,
-  makeServerNews,
+  makeServerUpdate,
 } from "../gateway/fixture.ts";
 import { createObjectCacheModel } from "../placement/object_cache_model.ts";
 import { createRanking } from "../placement/ranking.ts";
@@ -21,12 +21,12 @@
   const clock = createFakeClock();
   const log = createSilentLog();
   const registry = makeRegistry(clock);
-  registry.apply(makeServerNews(makeServer("oslo-1"), 1));
+  registry.apply(makeServerUpdate(makeServer("oslo-1"), 1));
   const bergen = makeServer("bergen-1", {
     failureDomain: "bergen-a",
     coldLeftMs: bergenColdMs,
   });
-  registry.apply(makeServerNews(bergen, 2));
+  registry.apply(makeServerUpdate(bergen, 2));
   const plan = createRegionPlan({
     clock,
     log,
--- a/src/telemetry/log.ts
+++ b/src/telemetry/log.ts
@@ -1,36 +1,39 @@
 /**
- * Structured logs: JSON lines to standard output, bounded and never blocking.
+ * Structured logs: JSON lines on standard output, written asynchronously from a
+ * bounded buffer.
  *
  * @module
  */
 import pino from "pino";
 
-/** Writes log lines; `child` adds fields to each of them. */
+/** A pino logger; `child` returns one that adds fields to each line. */
 export type Log = pino.Logger;
 
-/** How much is logged. */
+/** Least severe level that is logged. */
 export type LogLevel = "debug" | "info" | "warn" | "error" | "silent";
 
-/** Bytes gathered before a write; fewer writes cost less processor time. */
+/** Bytes buffered before a write: fewer writes take less processor time. */
 const MIN_WRITE_BYTES = 4_096;
-/** Lines beyond this many unwritten bytes are dropped and counted. */
-const MAX_UNWRITTEN_BYTES = 1_048_576;
-/** How often gathered lines are written and drops reported. */
-const FLUSH_MS = 500;
+/** Largest size of the buffer; lines beyond it are dropped and counted. */
+const MAX_BUFFERED_BYTES = 1_048_576;
+/**
+ * Interval at which buffered lines are written and dropped lines are reported.
+ */
+const FLUSH_INTERVAL_MS = 500;
 
-/** A log and its end. */
+/** A log with its output. */
 export interface LogSink {
   log: Log;
-  /** @returns Lines dropped since the start. */
-  getDropped(): number;
-  /** Writes what is gathered, for the end of the process. */
+  /** @returns Number of lines dropped since the start. */
+  countDroppedLines(): number;
+  /** Writes the buffered lines synchronously, before the process exits. */
   flush(): void;
 }
 
 /**
- * @param level Lines below it are not written.
- * @param fields Fields of every line, such as the VM's name.
- * @returns A log to standard output.
+ * @param level Lines below this level are not written.
+ * @param fields Fields of every line, such as the name of the VM.
+ * @returns A log that writes to standard output.
  */
 export function createLogSink(
   level: LogLevel,
@@ -40,25 +43,29 @@
     dest: 1,
     sync: false,
     minLength: MIN_WRITE_BYTES,
-    maxLength: MAX_UNWRITTEN_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
-  let dropped = 0;
-  let reported = 0;
-  output.on("drop", () => void dropped++);
-  output.on("error", () => void dropped++);
+  let droppedLines = 0;
+  let reportedLines = 0;
+  output.on("drop", () => void droppedLines++);
+  output.on("error", () => void droppedLines++);
   const log = pino({ level, base: fields }, output);
   const timer = setInterval(() => {
-    if (dropped > reported) {
-      log.warn({ dropped: dropped - reported }, "log lines dropped");
-      reported = dropped;
+    if (droppedLines > reportedLines) {
+      log.warn({ dropped: droppedLines - reportedLines }, "log lines dropped");
+      reportedLines = droppedLines;
     }
     output.flush();
-  }, FLUSH_MS);
+  }, FLUSH_INTERVAL_MS);
   timer.unref();
-  return { log, getDropped: () => dropped, flush: () => output.flushSync() };
+  return {
+    log,
+    countDroppedLines: () => droppedLines,
+    flush: () => output.flushSync(),
+  };
 }
 
-/** @returns A log that goes nowhere, for tests. */
+/** @returns A log that discards all lines, for tests. */
 export function createSilentLog(): Log {
   return pino({ level: "silent" });
 }
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and histograms in the Prometheus text format.
+ * Metrics of a gateway in the Prometheus text format.
  *
  * @module
  */
@@ -7,22 +7,31 @@
 import type { Route } from "../routing/types.ts";
 import type { ServeResult } from "../serving/types.ts";
 
-/** Figures of one process. */
+/** Metrics of one process. */
 export interface ServingMetrics {
-  /** Notes how a request ended. */
-  noteRequest(route: Route, result: ServeResult, tookMs: number): void;
-  /** @returns All figures as text. */
+  /**
+   * Records the result of a request.
+   *
+   * @param route The route of the request.
+   * @param result The result.
+   * @param durationMs Time from its headers to the final answer, in ms.
+   */
+  recordRequest(route: Route, result: ServeResult, durationMs: number): void;
+  /** @returns All metrics in the text format. */
   render(): Promise<string>;
+  /** Value of the `content-type` header for the text. */
   contentType: string;
 }
 
-/** Values that are read when the figures are asked for. */
-export type GaugeReaders = Record<
+/**
+ * Gauges by name without prefix, with a function that reads the current value.
+ */
+export type GaugeDefinitions = Record<
   string,
   { help: string; read: () => number }
 >;
 
-/** Upper bounds in seconds: around the latency targets of 0.2 to 1.2 s. */
+/** Upper bounds of the buckets, chosen for latency targets of 0.2 to 1.2 s. */
 const LATENCY_BUCKETS_S = [
   0.01,
   0.025,
@@ -39,12 +48,13 @@
 ];
 
 /**
- * @param gauges Values to expose beside the requests' figures.
- * @returns Figures that start at zero.
+ * @param gauges Gauges to expose besides the metrics of requests.
+ * @returns The metrics, with all counters at zero.
  */
-export function createServingMetrics(gauges: GaugeReaders): ServingMetrics {
+export function createServingMetrics(gauges: GaugeDefinitions): ServingMetrics {
   const registry = new Registry();
-  // First, since some collectors cut long texts and histograms are long.
+  // Gauges come first: some collectors truncate long texts, and histograms are
+  // long.
   for (const [name, { help, read }] of Object.entries(gauges)) {
     new Gauge({
       name: `hawthorngw_${name}`,
@@ -55,13 +65,13 @@
       },
     });
   }
-  const requests = new Counter({
+  const requestCounter = new Counter({
     name: "hawthorngw_requests_total",
     help: "Requests by kind, outcome and reason",
     labelNames: ["kind", "outcome", "reason"],
     registers: [registry],
   });
-  const latency = new Histogram({
+  const latencyHistogram = new Histogram({
     name: "hawthorngw_request_seconds",
     help: "Time from a request's headers to its final answer",
     labelNames: ["kind", "outcome"],
@@ -69,11 +79,14 @@
     registers: [registry],
   });
   return {
-    noteRequest(route, result, tookMs) {
+    recordRequest(route, result, durationMs) {
       const { kind } = route;
       const reason = "reason" in result ? result.reason : "";
-      requests.inc({ kind, outcome: result.kind, reason });
-      latency.observe({ kind, outcome: result.kind }, tookMs / 1_000);
+      requestCounter.inc({ kind, outcome: result.kind, reason });
+      latencyHistogram.observe(
+        { kind, outcome: result.kind },
+        durationMs / 1_000,
+      );
     },
     render: () => registry.metrics(),
     contentType: registry.contentType,
