--- a/src/control/dialer.ts
+++ b/src/control/dialer.ts
@@ -6,7 +6,7 @@
 import {
   type DialedLink,
   type DialOptions,
-  keepLink,
+  maintainLink,
 } from "../runtime/peer_link.ts";
 import type { PeerMessage } from "./messages.ts";
 
@@ -49,7 +49,7 @@
       }
       for (const address of targets) {
         if (linkByAddress.has(address)) continue;
-        linkByAddress.set(address, keepLink(translate(address), options));
+        linkByAddress.set(address, maintainLink(translate(address), options));
       }
     },
     close() {
