--- a/bench/request_path.ts
+++ b/bench/request_path.ts
@@ -17,16 +17,16 @@
   type BackendExchange,
 } from "../src/forwarding/backend_client.ts";
 import {
-  type ChoicePolicy,
-  ExpectedLatencyChoice,
-  LeastInFlightChoice,
-  RandomChoice,
-  RoundRobinChoice,
-  TwoChoices,
-} from "../src/forwarding/choice.ts";
-import { createDeadlyRequests } from "../src/forwarding/deadly_requests.ts";
+  type BalancingPolicy,
+  ExpectedLatencyPolicy,
+  LeastInFlightPolicy,
+  RandomPolicy,
+  RoundRobinPolicy,
+  TwoChoicesPolicy,
+} from "../src/forwarding/balancing_policy.ts";
+import { createPoisonRequestTracker } from "../src/forwarding/poison_requests.ts";
 import { createLocalRunner } from "../src/forwarding/local_runner.ts";
-import { syncServers } from "../src/forwarding/servers.ts";
+import { syncServers } from "../src/forwarding/server_set.ts";
 import type {
   ExchangeResult,
   ForwardRequest,
@@ -151,21 +151,27 @@
   return fault === "draining third" && index % 3 === 0 && nowMs >= WARM_MS;
 }
 
-function setUpSteering(made: Case, makePolicy: (r: Random) => ChoicePolicy) {
+function setUpSteering(made: Case, makePolicy: (r: Random) => BalancingPolicy) {
   const clock = createFakeClock();
   const random = createRandom(7);
   const { document, fault } = made;
   const backends = new QueueingBackends(document, { clock, random });
   const policy = makePolicy(createRandom(11));
   const endCheck: EndCheck = { check: () => Promise.resolve("runs") };
-  const deadly = createDeadlyRequests(clock, endCheck);
-  const runner = createLocalRunner({ clock, random, backends, policy, deadly });
-  const { set } = runner.line(document);
+  const deadly = createPoisonRequestTracker(clock, endCheck);
+  const runner = createLocalRunner({
+    clock,
+    random,
+    backends,
+    policy,
+    poisonRequests: deadly,
+  });
+  const { set } = runner.getServiceQueue(document);
   const sync = () => {
     syncServers(set, document, {
       failureDomain: document.backendServers[0].failureDomain,
       entry: { index: 0, count: 1 },
-      leavingReason: ({ id }) => {
+      getLeavingReason: ({ id }) => {
         const index = document.backendServers.findIndex((s) => s.id === id);
         return isDrained(fault, index, clock.monotonicMs())
           ? "document"
@@ -173,7 +179,7 @@
       },
       nowMs: clock.monotonicMs(),
     });
-    runner.refresh();
+    runner.updateConcurrency();
   };
   sync();
   clock.every(250, sync);
@@ -295,12 +301,12 @@
   if (latencyMs <= mix.deadlineMs) tally.inTime += requestClass.weight;
 }
 
-const POLICIES: [string, (random: Random) => ChoicePolicy][] = [
-  ["random", (random) => new RandomChoice(random)],
-  ["round robin", () => new RoundRobinChoice()],
-  ["least in flight", (random) => new LeastInFlightChoice(random)],
-  ["two choices", (random) => new TwoChoices(random)],
-  ["expected latency", (random) => new ExpectedLatencyChoice(random)],
+const POLICIES: [string, (random: Random) => BalancingPolicy][] = [
+  ["random", (random) => new RandomPolicy(random)],
+  ["round robin", () => new RoundRobinPolicy()],
+  ["least in flight", (random) => new LeastInFlightPolicy(random)],
+  ["two choices", (random) => new TwoChoicesPolicy(random)],
+  ["expected latency", (random) => new ExpectedLatencyPolicy(random)],
 ];
 
 /** All servers of a service in one failure domain, as one entry sees them. */
--- a/src/admission/logic.ts
+++ b/src/admission/admission_control.ts
@@ -5,9 +5,9 @@
  */
 
 /** Safety factor on the expected wait. */
-const WAIT_FACTOR = 1.2;
+const WAIT_SAFETY_FACTOR = 1.2;
 /** A request must have this many mean service times left to be started. */
-const SERVICE_FACTOR = 1.5;
+const MIN_SERVICE_TIMES = 1.5;
 
 /** What the decision is made from. */
 export interface AdmissionInput {
@@ -21,7 +21,7 @@
   /** Requests of the same class that wait. */
   waitingInClass: number;
   /** Share of the turns that the class gets, 0 to 1. */
-  turnShare: number;
+  classShare: number;
 }
 
 /** Whether to let a request wait. */
@@ -40,10 +40,10 @@
     const reason = "No backend server takes new work here";
     return { decision: "refuse", reason, waitMs: serviceMs };
   }
-  const waitMs = expectWait(input);
-  const neededMs = waitMs * WAIT_FACTOR + serviceMs * SERVICE_FACTOR;
-  const startsAtOnce = inFlight < limit && input.waitingInClass === 0;
-  if (neededMs <= remainingMs || startsAtOnce && serviceMs < remainingMs) {
+  const waitMs = estimateWaitMs(input);
+  const neededMs = waitMs * WAIT_SAFETY_FACTOR + serviceMs * MIN_SERVICE_TIMES;
+  const canStartNow = inFlight < limit && input.waitingInClass === 0;
+  if (neededMs <= remainingMs || canStartNow && serviceMs < remainingMs) {
     return { decision: "admit", waitMs };
   }
   const reason = "It can't be answered before its deadline";
@@ -51,8 +51,9 @@
 }
 
 /** Time until a free slot comes to the class's last in line, in ms. */
-function expectWait(input: AdmissionInput): number {
-  const { serviceMs, limit, inFlight, waitingInClass, turnShare } = input;
+function estimateWaitMs(input: AdmissionInput): number {
+  const { serviceMs, limit, inFlight, waitingInClass, classShare: turnShare } =
+    input;
   if (inFlight < limit && waitingInClass === 0) return 0;
   return (waitingInClass + 1) * serviceMs / (limit * turnShare);
 }
@@ -62,7 +63,7 @@
  * @param random A number in [0, 1), so that callers do not return together.
  * @returns When to come back, in whole seconds, at least 1.
  */
-export function makeRetryAfter(waitMs: number, random: number): number {
+export function computeRetryAfterS(waitMs: number, random: number): number {
   const baseS = Math.max(1, waitMs / 1_000);
   return Math.ceil(baseS * (0.5 + random));
 }
--- a/src/admission/fair_queue.ts
+++ b/src/admission/fair_queue.ts
@@ -11,16 +11,16 @@
 
 type Run = () => Promise<unknown>;
 
-interface Waiting {
+interface QueuedTask {
   id: string | undefined;
   run: Run;
 }
 
-interface ClassLine {
+interface ClassQueue {
   /** Weight of the class; p-queue calls it the priority. */
   weight: number;
   virtualTime: number;
-  waiting: Waiting[];
+  waiting: QueuedTask[];
 }
 
 /** Exponent on weights: a decision of weight 2 gets 8 turns to a look-up's 1. */
@@ -28,7 +28,7 @@
 
 /** A queue class for p-queue; `priority` is a class's weight, above 0. */
 export class FairQueue implements Queue<Run, QueueAddOptions> {
-  readonly #lines = new Map<number, ClassLine>();
+  readonly #classQueues = new Map<number, ClassQueue>();
   #virtualTime = 0;
   #size = 0;
 
@@ -45,22 +45,27 @@
    */
   enqueue(run: Run, options?: Partial<QueueAddOptions>): void {
     const weight = options?.priority ?? 1;
-    const line = this.#lines.get(weight) ??
+    const classQueue = this.#classQueues.get(weight) ??
       { weight, virtualTime: 0, waiting: [] };
-    this.#lines.set(weight, line);
-    if (line.waiting.length === 0) {
-      line.virtualTime = Math.max(line.virtualTime, this.#virtualTime);
+    this.#classQueues.set(weight, classQueue);
+    if (classQueue.waiting.length === 0) {
+      classQueue.virtualTime = Math.max(
+        classQueue.virtualTime,
+        this.#virtualTime,
+      );
     }
-    line.waiting.push({ id: options?.id, run });
+    classQueue.waiting.push({ id: options?.id, run });
     this.#size += 1;
   }
 
   /** @returns The next task, if any. */
   dequeue(): Run | undefined {
-    let next: ClassLine | undefined;
-    for (const line of this.#lines.values()) {
-      if (line.waiting.length > 0 && (!next || isBefore(line, next))) {
-        next = line;
+    let next: ClassQueue | undefined;
+    for (const classQueue of this.#classQueues.values()) {
+      if (
+        classQueue.waiting.length > 0 && (!next || isBefore(classQueue, next))
+      ) {
+        next = classQueue;
       }
     }
     if (next === undefined) return undefined;
@@ -75,8 +80,8 @@
    * @returns Tasks of that class.
    */
   filter(options: Partial<QueueAddOptions>): Run[] {
-    const line = this.#lines.get(options.priority ?? 1);
-    return line?.waiting.map(({ run }) => run) ?? [];
+    const classQueue = this.#classQueues.get(options.priority ?? 1);
+    return classQueue?.waiting.map(({ run }) => run) ?? [];
   }
 
   /**
@@ -85,12 +90,12 @@
    * @param idOrRun Its id or the task itself.
    */
   remove(idOrRun: string | Run): void {
-    for (const line of this.#lines.values()) {
-      const index = line.waiting.findIndex(({ id, run }) =>
+    for (const classQueue of this.#classQueues.values()) {
+      const index = classQueue.waiting.findIndex(({ id, run }) =>
         id === idOrRun || run === idOrRun
       );
       if (index < 0) continue;
-      line.waiting.splice(index, 1);
+      classQueue.waiting.splice(index, 1);
       this.#size -= 1;
       return;
     }
@@ -103,8 +108,8 @@
    * @param priority Weight of the other class.
    */
   setPriority(id: string, priority: number): void {
-    for (const line of this.#lines.values()) {
-      const found = line.waiting.find((waiting) => waiting.id === id);
+    for (const classQueue of this.#classQueues.values()) {
+      const found = classQueue.waiting.find((waiting) => waiting.id === id);
       if (found === undefined) continue;
       this.remove(id);
       return this.enqueue(found.run, { id, priority });
@@ -116,14 +121,14 @@
    * @returns Share of the turns that the class gets among those waiting, itself
    * included.
    */
-  getTurnShare(weight: number): number {
-    const own = weight ** WEIGHT_EXPONENT;
-    let total = own;
-    for (const line of this.#lines.values()) {
-      if (line.weight === weight || line.waiting.length === 0) continue;
-      total += line.weight ** WEIGHT_EXPONENT;
+  getClassShare(weight: number): number {
+    const ownTurns = weight ** WEIGHT_EXPONENT;
+    let totalTurns = ownTurns;
+    for (const queue of this.#classQueues.values()) {
+      if (queue.weight === weight || queue.waiting.length === 0) continue;
+      totalTurns += queue.weight ** WEIGHT_EXPONENT;
     }
-    return own / total;
+    return ownTurns / totalTurns;
   }
 
   /**
@@ -131,31 +136,31 @@
    * @returns Requests of the class that wait.
    */
   countWaiting(weight: number): number {
-    return this.#lines.get(weight)?.waiting.length ?? 0;
+    return this.#classQueues.get(weight)?.waiting.length ?? 0;
   }
 }
 
 /** A p-queue and its waiting line. */
-export interface FairPQueue {
+export interface FairTaskQueue {
   queue: PQueue<FairQueue>;
   waiting: FairQueue;
 }
 
 /** @returns A p-queue whose waiting line can be looked into. */
-export function createFairQueue(): FairPQueue {
-  const made: FairQueue[] = [];
-  class KnownFairQueue extends FairQueue {
+export function createFairQueue(): FairTaskQueue {
+  const instances: FairQueue[] = [];
+  class CapturedFairQueue extends FairQueue {
     constructor() {
       super();
-      made.push(this);
+      instances.push(this);
     }
   }
-  const queue = new PQueue({ queueClass: KnownFairQueue, concurrency: 1 });
-  return { queue, waiting: made[0] };
+  const queue = new PQueue({ queueClass: CapturedFairQueue, concurrency: 1 });
+  return { queue, waiting: instances[0] };
 }
 
 /** The heavier of two equals goes first. */
-function isBefore(a: ClassLine, b: ClassLine): boolean {
+function isBefore(a: ClassQueue, b: ClassQueue): boolean {
   if (a.virtualTime !== b.virtualTime) return a.virtualTime < b.virtualTime;
   return a.weight > b.weight;
 }
--- a/src/admission/fair_queue_test.ts
+++ b/src/admission/fair_queue_test.ts
@@ -1,9 +1,9 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { decideAdmission, makeRetryAfter } from "./logic.ts";
+import { computeRetryAfterS, decideAdmission } from "./admission_control.ts";
 import { createFairQueue, FairQueue } from "./fair_queue.ts";
 
-function fill(queue: FairQueue, weight: number, count: number): void {
+function enqueueTasks(queue: FairQueue, weight: number, count: number): void {
   for (let index = 0; index < count; index++) {
     const run = () => Promise.resolve(weight);
     queue.enqueue(run, { priority: weight, id: `${weight} ${index}` });
@@ -12,8 +12,8 @@
 
 test("heavier classes go first, and none starves", async () => {
   const queue = new FairQueue();
-  fill(queue, 1, 90);
-  fill(queue, 2, 90);
+  enqueueTasks(queue, 1, 90);
+  enqueueTasks(queue, 2, 90);
   const served = { 1: 0, 2: 0 };
   for (let count = 0; count < 90; count++) {
     const weight = await queue.dequeue()!() as 1 | 2;
@@ -25,9 +25,9 @@
 
 test("a class that comes late does not catch up for its absence", async () => {
   const queue = new FairQueue();
-  fill(queue, 1, 100);
+  enqueueTasks(queue, 1, 100);
   for (let count = 0; count < 50; count++) queue.dequeue();
-  fill(queue, 2, 20);
+  enqueueTasks(queue, 2, 20);
   const order: unknown[] = [];
   for (let count = 0; count < 18; count++) order.push(await queue.dequeue()!());
   const light = order.filter((weight) => weight === 1).length;
@@ -53,21 +53,21 @@
   assert.is(ran, false);
 });
 
-const idle = {
+const idleInput = {
   remainingMs: 1_000,
   serviceMs: 100,
   limit: 10,
   inFlight: 0,
   waitingInClass: 0,
-  turnShare: 1,
+  classShare: 1,
 };
-const cases: [string, Partial<typeof idle>, string][] = [
+const admissionCases: [string, Partial<typeof idleInput>, string][] = [
   ["a free slot", {}, "admit"],
   ["a short line", { inFlight: 10, waitingInClass: 20 }, "admit"],
   ["a line too long", { inFlight: 10, waitingInClass: 90 }, "refuse"],
   [
     "a line too long for a light class",
-    { inFlight: 10, waitingInClass: 20, turnShare: 0.1 },
+    { inFlight: 10, waitingInClass: 20, classShare: 0.1 },
     "refuse",
   ],
   ["no server", { limit: 0 }, "refuse"],
@@ -75,19 +75,19 @@
   ["just enough time and a free slot", { remainingMs: 120 }, "admit"],
 ];
 
-for (const [name, changes, expected] of cases) {
+for (const [name, changes, expected] of admissionCases) {
   test(`${name}: ${expected}`, () => {
-    const { decision } = decideAdmission({ ...idle, ...changes });
+    const { decision } = decideAdmission({ ...idleInput, ...changes });
     assert.is(decision, expected);
   });
 }
 
 test("callers that are refused together are told different times", () => {
   const times = [0, 0.3, 0.6, 0.9].map((random) =>
-    makeRetryAfter(8_000, random)
+    computeRetryAfterS(8_000, random)
   );
   assert.equal(times, [4, 7, 9, 12]);
-  assert.is(makeRetryAfter(0, 0), 1);
+  assert.is(computeRetryAfterS(0, 0), 1);
 });
 
 test.run();
--- a/src/draining/logic.ts
+++ b/src/draining/drain_status.ts
@@ -15,10 +15,10 @@
  * @param wallMs Wall-clock time, in ms since the epoch.
  * @returns Whether it is in force.
  */
-export function isInForce(drain: Drain, wallMs: number): boolean {
-  const startMs = drain.startsAt ? Date.parse(drain.startsAt) : -Infinity;
-  const endMs = drain.endsAt ? Date.parse(drain.endsAt) : Infinity;
-  return startMs <= wallMs && wallMs < endMs;
+export function isActive(drain: Drain, wallMs: number): boolean {
+  const startsAtMs = drain.startsAt ? Date.parse(drain.startsAt) : -Infinity;
+  const endsAtMs = drain.endsAt ? Date.parse(drain.endsAt) : Infinity;
+  return startsAtMs <= wallMs && wallMs < endsAtMs;
 }
 
 /** A point in time and the regions of failure domains. */
@@ -43,7 +43,7 @@
   if (region === undefined || !document.regions.includes(region)) return true;
   if (document.excludedFailureDomains.includes(domain)) return true;
   return document.drains.some((drain) =>
-    isInForce(drain, wallMs) &&
+    isActive(drain, wallMs) &&
     (drain.scope === "failureDomain" && drain.name === domain ||
       drain.scope === "region" && drain.name === region)
   );
@@ -62,6 +62,6 @@
 ): boolean {
   return document.drains.some((drain) =>
     drain.scope === "backendServer" && drain.name === server.id &&
-    isInForce(drain, wallMs)
+    isActive(drain, wallMs)
   );
 }
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -5,12 +5,12 @@
  */
 import { startFrame } from "../daemon/frame.ts";
 import { HttpBackendClient } from "../forwarding/backend_client.ts";
-import { ExpectedLatencyChoice } from "../forwarding/choice.ts";
-import { createDeadlyRequests } from "../forwarding/deadly_requests.ts";
-import { createFigures } from "../forwarding/figures.ts";
-import { createFlow } from "../forwarding/flow.ts";
+import { ExpectedLatencyPolicy } from "../forwarding/balancing_policy.ts";
+import { createPoisonRequestTracker } from "../forwarding/poison_requests.ts";
+import { createEntryStats } from "../forwarding/entry_stats.ts";
+import { createRequestForwarder } from "../forwarding/request_forwarder.ts";
 import { createKeyRegistry } from "../forwarding/key_registry.ts";
-import { createLinkLimiter } from "../forwarding/link_limit.ts";
+import { createLinkLimiter } from "../forwarding/link_limiter.ts";
 import { createLocalRunner } from "../forwarding/local_runner.ts";
 import { HttpPeerClient } from "../forwarding/peer_client.ts";
 import { addCallerRoutes, addHandoverRoute } from "../forwarding/routes.ts";
@@ -54,20 +54,25 @@
   const { agent, steering, metrics } = frame;
   const random = createRandom(agent.self.incarnation & SEED_MASK);
   const backends = new HttpBackendClient();
-  const policy = new ExpectedLatencyChoice(random);
-  const deadly = createDeadlyRequests(clock, createEndCheck(dial));
+  const policy = new ExpectedLatencyPolicy(random);
+  const deadly = createPoisonRequestTracker(clock, createEndCheck(dial));
   const runner = createLocalRunner({
     clock,
     random,
     backends,
     policy,
-    deadly,
+    poisonRequests: deadly,
   });
   const peers = new HttpPeerClient(settings.peerKey, frame.translate);
   const registry = createKeyRegistry();
-  const figures = createFigures({ self: agent.self, runner, clock, metrics });
+  const stats = createEntryStats({
+    self: agent.self,
+    runner,
+    clock,
+    metrics,
+  });
   const links = createLinkLimiter();
-  const flow = createFlow({
+  const forwarder = createRequestForwarder({
     agent,
     steering,
     runner,
@@ -81,17 +86,23 @@
   await frame.openOperator(() => ({
     servers: watch.dump(),
     keys: registry.size(),
-    outcomes: figures.counts(),
+    outcomes: stats.counts(),
   }));
   const blocks = createBlockSource(agent);
-  const routeOptions = { agent, flow, figures, blocks, clock };
+  const routeOptions = {
+    agent,
+    forwarder: forwarder,
+    stats: stats,
+    blocks,
+    clock,
+  };
   const callerRouter = createRouter();
   addHandoverRoute(peerRouter, routeOptions);
   addCallerRoutes(callerRouter, routeOptions);
   await frame.openCallers(callerRouter);
   const loadTimer = clock.every(
     LOAD_PERIOD_MS,
-    () => agent.reportLoad(figures.read()),
+    () => agent.reportLoad(stats.read()),
   );
 
   function getLongestTtlMs(): number {
--- a/src/entry/server_watch.ts
+++ b/src/entry/server_watch.ts
@@ -8,17 +8,20 @@
 import type { BackendServer, ServiceDocument } from "../config/schema.ts";
 import type { ControlAgent } from "../control/types.ts";
 import type { HealthReport } from "../control/messages.ts";
-import { isServerDrained } from "../draining/logic.ts";
+import { isServerDrained } from "../draining/drain_status.ts";
 import type { BackendClient } from "../forwarding/backend_client.ts";
 import type { LocalRunner } from "../forwarding/local_runner.ts";
-import { getLimit, getMedianLatency } from "../forwarding/server_judgement.ts";
 import {
-  type EntryShare,
+  getConcurrencyLimit,
+  getMedianLatencyMs,
+} from "../forwarding/server_limits.ts";
+import {
+  type EntryPosition,
   type LeavingReason,
-  noteHealth,
+  recordHealth,
   type ServerState,
   syncServers,
-} from "../forwarding/servers.ts";
+} from "../forwarding/server_set.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { rankByRendezvous } from "../runtime/hash.ts";
 import { createLogger } from "../runtime/logger.ts";
@@ -57,7 +60,7 @@
     );
   }
 
-  function getEntryShare(): EntryShare {
+  function getEntryShare(): EntryPosition {
     const own = agent.config().fleet?.document.entryVms
       .filter((vm) => vm.failureDomain === failureDomain)
       .map((vm) => vm.id) ?? [];
@@ -71,16 +74,16 @@
     const entry = getEntryShare();
     const nowMs = clock.monotonicMs();
     for (const document of listDocuments()) {
-      const { set } = runner.line(document);
+      const { set } = runner.getServiceQueue(document);
       syncServers(set, document, {
         failureDomain,
         entry,
-        leavingReason: (server) => findLeavingReason(document, server),
+        getLeavingReason: (server) => findLeavingReason(document, server),
         nowMs,
       });
       for (const state of set.servers.values()) reportDrain(state);
     }
-    runner.refresh();
+    runner.updateConcurrency();
   }
 
   function findLeavingReason(
@@ -127,8 +130,8 @@
 
   function takeReports(reports: HealthReport[]): void {
     const nowMs = clock.monotonicMs();
-    for (const { set } of runner.lines()) {
-      for (const report of reports) noteHealth(set, report, nowMs);
+    for (const { set } of runner.listServiceQueues()) {
+      for (const report of reports) recordHealth(set, report, nowMs);
     }
   }
 
@@ -140,26 +143,28 @@
   ];
   return {
     dump: () =>
-      runner.lines().map(({ set, queue }) => dumpSet(set, queue.size)),
+      runner.listServiceQueues().map(({ set, queue }) =>
+        dumpSet(set, queue.size)
+      ),
     close() {
       for (const timer of timers) timer.cancel();
     },
   };
 
   function dumpSet(
-    set: Parameters<typeof getLimit>[0],
+    set: Parameters<typeof getConcurrencyLimit>[0],
     waiting: number,
   ): unknown {
     const nowMs = clock.monotonicMs();
     const states = [...set.servers.values()];
-    const medianMs = getMedianLatency(states, set.document.expectedServiceMs);
+    const medianMs = getMedianLatencyMs(states, set.document.expectedServiceMs);
     return {
       service: set.document.service,
       waiting,
       servers: states.map((state) => ({
         id: state.server.id,
         inFlight: state.inFlight,
-        limit: getLimit(set, state, { medianMs, nowMs }),
+        limit: getConcurrencyLimit(set, state, { medianMs, nowMs }),
         latencyMs: state.latency.value(),
         health: state.health,
         leaving: state.leaving,
--- a/src/forwarding/backend_client.ts
+++ b/src/forwarding/backend_client.ts
@@ -21,7 +21,7 @@
 /** Largest answer that is passed on. */
 export const MAX_ANSWER_BYTES = 4_194_304;
 const CONNECT_TIMEOUT_MS = 500;
-const IDLE_CONNECTION_MS = 4_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 4_000;
 const PROBE_TIMEOUT_MS = 400;
 
 /** One exchange. */
@@ -60,7 +60,7 @@
     if (request.contentType) headers["content-type"] = request.contentType;
     if (request.key) headers[HEADERS.idempotencyKey] = request.key.text;
     try {
-      const response = await this.#poolOf(server).request({
+      const response = await this.#getPool(server).request({
         method: request.method as Dispatcher.HttpMethod,
         path: request.path,
         headers,
@@ -79,7 +79,7 @@
 
   override async probe(server: BackendServer): Promise<HealthReport> {
     try {
-      const response = await this.#poolOf(server).request({
+      const response = await this.#getPool(server).request({
         method: "GET",
         path: "/health",
         signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
@@ -111,14 +111,14 @@
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #poolOf(server: BackendServer): Pool {
-    const known = this.#pools.get(server.address);
-    if (known) return known;
+  #getPool(server: BackendServer): Pool {
+    const existing = this.#pools.get(server.address);
+    if (existing) return existing;
     const pool = new Pool(`http://${server.address}`, {
       connections: Math.min(server.slots + 1, server.connections),
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      keepAliveTimeout: IDLE_CONNECTION_MS,
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -138,7 +138,7 @@
   response: Dispatcher.ResponseData,
   { document, server, request }: AnswerContext,
 ): Promise<ExchangeResult> {
-  const body = await readWhole(response.body);
+  const body = await readBody(response.body);
   if (body === undefined) {
     return { kind: "failed", reason: `${server.id}: answer is too large` };
   }
@@ -175,7 +175,7 @@
 }
 
 /** undici throws where the body ends before its stated length. */
-async function readWhole(
+async function readBody(
   body: Dispatcher.ResponseData["body"],
 ): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
--- a/src/forwarding/choice.ts
+++ b/src/forwarding/balancing_policy.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { pick, type Random } from "../runtime/random.ts";
-import { judgeLatency } from "./server_judgement.ts";
-import { type ServerState } from "./servers.ts";
+import { estimateLatencyMs } from "./server_limits.ts";
+import { type ServerState } from "./server_set.ts";
 
 /** A server with room and what its choice depends on. */
 export interface Candidate {
@@ -15,14 +15,14 @@
 }
 
 /** Circumstances of a choice. */
-export interface ChoiceContext {
+export interface BalancingContext {
   medianMs: number;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
 
 /** A way to choose. */
-export abstract class ChoicePolicy {
+export abstract class BalancingPolicy {
   /** Name in reports. */
   abstract readonly name: string;
   /**
@@ -32,12 +32,12 @@
    */
   abstract choose(
     candidates: readonly Candidate[],
-    context: ChoiceContext,
+    context: BalancingContext,
   ): Candidate;
 }
 
 /** A way to choose in which chance has a part. */
-abstract class ChanceChoice extends ChoicePolicy {
+abstract class RandomizedPolicy extends BalancingPolicy {
   protected readonly random: Random;
 
   /** @param random The random source. */
@@ -48,7 +48,7 @@
 }
 
 /** Any, by chance. */
-export class RandomChoice extends ChanceChoice {
+export class RandomPolicy extends RandomizedPolicy {
   override readonly name = "random";
   override choose(candidates: readonly Candidate[]): Candidate {
     return pick(this.random, candidates);
@@ -56,7 +56,7 @@
 }
 
 /** One after the other. */
-export class RoundRobinChoice extends ChoicePolicy {
+export class RoundRobinPolicy extends BalancingPolicy {
   override readonly name = "round_robin";
   #next = 0;
 
@@ -67,50 +67,50 @@
 }
 
 /** The one with the fewest in flight. */
-export class LeastInFlightChoice extends ChanceChoice {
+export class LeastInFlightPolicy extends RandomizedPolicy {
   override readonly name = "least_in_flight";
   override choose(candidates: readonly Candidate[]): Candidate {
-    return pickLowest(candidates, this.random, getUse);
+    return pickLowest(candidates, this.random, getUtilization);
   }
 }
 
 /** The less used of two taken by chance. */
-export class TwoChoices extends ChanceChoice {
+export class TwoChoicesPolicy extends RandomizedPolicy {
   override readonly name = "two_choices";
   override choose(candidates: readonly Candidate[]): Candidate {
     const first = pick(this.random, candidates);
     const second = pick(this.random, candidates);
-    return getUse(first) <= getUse(second) ? first : second;
+    return getUtilization(first) <= getUtilization(second) ? first : second;
   }
 }
 
 /** Reports older than this say nothing. */
 const REPORT_EXPIRY_MS = 2_000;
 /** Weight of a fresh report against what is in flight from here. */
-const REPORT_WEIGHT = 0.3;
+const MAX_REPORT_WEIGHT = 0.3;
 
 /**
  * The one expected to answer first: observed latency, drawn out by what is in
  * flight, then by the server's own report, discounted by its age.
  */
-export class ExpectedLatencyChoice extends ChanceChoice {
+export class ExpectedLatencyPolicy extends RandomizedPolicy {
   override readonly name = "expected_latency";
   override choose(
     candidates: readonly Candidate[],
-    { medianMs, nowMs }: ChoiceContext,
+    { medianMs, nowMs }: BalancingContext,
   ): Candidate {
     return pickLowest(candidates, this.random, (candidate) => {
       const { state } = candidate;
-      const latencyMs = judgeLatency(state, medianMs, nowMs);
+      const latencyMs = estimateLatencyMs(state, medianMs, nowMs);
       const ageMs = nowMs - state.healthAtMs;
       const freshness = Math.max(0, 1 - ageMs / REPORT_EXPIRY_MS);
-      const reported = state.reportedUse * freshness * REPORT_WEIGHT;
-      return latencyMs * (1 + getUse(candidate) + reported);
+      const reported = state.reportedUse * freshness * MAX_REPORT_WEIGHT;
+      return latencyMs * (1 + getUtilization(candidate) + reported);
     });
   }
 }
 
-function getUse({ state, limit }: Candidate): number {
+function getUtilization({ state, limit }: Candidate): number {
   return state.inFlight / limit;
 }
 
--- a/src/forwarding/figures.ts
+++ b/src/forwarding/entry_stats.ts
@@ -16,9 +16,9 @@
 import type { LocalRunner } from "./local_runner.ts";
 import type { ForwardRequest, Outcome } from "./types.ts";
 
-const BYTES_WEIGHT = 0.05;
+const BYTES_SMOOTHING_FACTOR = 0.05;
 
-interface ServiceFigures {
+interface ServiceStats {
   /** By the caller's region. */
   arrivals: Map<string, RateCounter>;
   bytes: MovingMean;
@@ -28,16 +28,16 @@
 export type OutcomeCounts = Record<Outcome["kind"], number>;
 
 /** What an entry carries. */
-export interface EntryFigures {
-  noteArrival(service: string, callerRegion: string): void;
-  noteOutcome(request: ForwardRequest, outcome: Outcome): void;
+export interface EntryStats {
+  recordArrival(service: string, callerRegion: string): void;
+  recordOutcome(request: ForwardRequest, outcome: Outcome): void;
   /** @returns Figures since the last call. */
   read(): EntryLoad;
   counts(): OutcomeCounts;
 }
 
 /** What the figures need. */
-export interface FigureOptions {
+export interface EntryStatsOptions {
   self: Member;
   runner: LocalRunner;
   clock: Clock;
@@ -48,36 +48,36 @@
  * @param options See there.
  * @returns Figures of an entry that has carried nothing.
  */
-export function createFigures(options: FigureOptions): EntryFigures {
+export function createEntryStats(options: EntryStatsOptions): EntryStats {
   const { self, runner, clock, metrics } = options;
-  const services = new Map<string, ServiceFigures>();
+  const services = new Map<string, ServiceStats>();
   const counts: OutcomeCounts = { answer: 0, not_run: 0, unknown: 0 };
 
-  function figuresOf(service: string): ServiceFigures {
-    const known = services.get(service);
-    if (known) return known;
-    const made: ServiceFigures = {
+  function getServiceStats(service: string): ServiceStats {
+    const existing = services.get(service);
+    if (existing) return existing;
+    const created: ServiceStats = {
       arrivals: new Map(),
-      bytes: createMovingMean(BYTES_WEIGHT),
+      bytes: createMovingMean(BYTES_SMOOTHING_FACTOR),
     };
-    services.set(service, made);
-    return made;
+    services.set(service, created);
+    return created;
   }
 
-  function arrivalsOf(service: string, region: string): RateCounter {
-    const { arrivals } = figuresOf(service);
-    const known = arrivals.get(region);
-    if (known) return known;
-    const made = createRateCounter(clock.monotonicMs());
-    arrivals.set(region, made);
-    return made;
+  function getArrivalCounter(service: string, region: string): RateCounter {
+    const { arrivals } = getServiceStats(service);
+    const existing = arrivals.get(region);
+    if (existing) return existing;
+    const created = createRateCounter(clock.monotonicMs());
+    arrivals.set(region, created);
+    return created;
   }
 
-  function readService(service: string): Pick<
+  function readServiceStats(service: string): Pick<
     ServiceLoad,
     "arrivals" | "bytesPerRequest"
   > {
-    const { arrivals, bytes } = figuresOf(service);
+    const { arrivals, bytes } = getServiceStats(service);
     const nowMs = clock.monotonicMs();
     return {
       arrivals: [...arrivals].map(([region, counter]) => ({
@@ -89,34 +89,35 @@
   }
 
   return {
-    noteArrival: (service, region) => arrivalsOf(service, region).add(1),
-    noteOutcome(request, outcome) {
+    recordArrival: (service, region) =>
+      getArrivalCounter(service, region).add(1),
+    recordOutcome(request, outcome) {
       counts[outcome.kind] += 1;
       metrics.count(`requests.${outcome.kind}`, { service: request.service });
       if (outcome.kind !== "answer") return;
       const bytes = request.body.length + outcome.answer.body.length;
-      figuresOf(request.service).bytes.add(bytes);
+      getServiceStats(request.service).bytes.add(bytes);
     },
     read() {
-      let used = 0;
-      let total = 0;
-      const loads = runner.lines().map((line): ServiceLoad => {
-        const { service } = line.set.document;
-        const limit = line.limit();
-        used += line.queue.pending + line.queue.size;
-        total += limit;
+      let usedSlots = 0;
+      let totalSlots = 0;
+      const loads = runner.listServiceQueues().map((queue): ServiceLoad => {
+        const { service } = queue.set.document;
+        const limit = queue.limit();
+        usedSlots += queue.queue.pending + queue.queue.size;
+        totalSlots += limit;
         return {
           service,
           usableSlots: limit,
-          inFlight: line.inFlight(),
-          serviceMs: line.serviceMs.value(),
-          ...readService(service),
+          inFlight: queue.inFlight(),
+          serviceMs: queue.serviceMs.value(),
+          ...readServiceStats(service),
         };
       });
       return {
         entryId: self.id,
         failureDomain: self.failureDomain,
-        utilization: total > 0 ? used / total : 1,
+        utilization: totalSlots > 0 ? usedSlots / totalSlots : 1,
         services: loads,
       };
     },
--- a/src/forwarding/key_registry.ts
+++ b/src/forwarding/key_registry.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import { type IdempotencyKey, KEPT_EPOCHS } from "./keys.ts";
+import { type IdempotencyKey, RETAINED_EPOCHS } from "./keys.ts";
 import type { Answer, Outcome } from "./types.ts";
 
 /** Keys remembered at most; beyond, new ones are refused as not run. */
@@ -57,12 +57,12 @@
 }
 
 /** Bounds of the memory. */
-export interface RegistryLimits {
+export interface KeyRegistryLimits {
   maxKeys: number;
   maxAnswerBytes: number;
 }
 
-const DEFAULT_LIMITS: RegistryLimits = {
+const DEFAULT_LIMITS: KeyRegistryLimits = {
   maxKeys: MAX_KEYS,
   maxAnswerBytes: MAX_ANSWER_BYTES,
 };
@@ -72,7 +72,7 @@
  * @returns An empty registry.
  */
 export function createKeyRegistry(
-  limits: RegistryLimits = DEFAULT_LIMITS,
+  limits: KeyRegistryLimits = DEFAULT_LIMITS,
 ): KeyRegistry {
   const epochs = new Map<number, Map<string, KeyRecord>>();
   let newestEpoch = 0;
@@ -80,15 +80,15 @@
   let answerBytes = 0;
 
   /** The newest epoch only rises, also when the wall clock is set back. */
-  function advance(epoch: number): void {
+  function expireEpochs(epoch: number): void {
     newestEpoch = Math.max(newestEpoch, epoch);
-    for (const [old, records] of epochs) {
-      if (old >= newestEpoch - KEPT_EPOCHS) continue;
+    for (const [oldEpoch, records] of epochs) {
+      if (oldEpoch >= newestEpoch - RETAINED_EPOCHS) continue;
       keyCount -= records.size;
       for (const { current } of records.values()) {
-        answerBytes -= sizeOf(current);
+        answerBytes -= getAnswerBytes(current);
       }
-      epochs.delete(old);
+      epochs.delete(oldEpoch);
     }
   }
 
@@ -97,22 +97,22 @@
     fingerprint: string,
     epoch: number,
   ): KeyDecision {
-    advance(epoch);
-    const isAccepted = key.epoch >= newestEpoch - KEPT_EPOCHS &&
+    expireEpochs(epoch);
+    const isAccepted = key.epoch >= newestEpoch - RETAINED_EPOCHS &&
       key.epoch <= newestEpoch + 1;
     if (!isAccepted) return { decision: "expired" };
     const records = epochs.get(key.epoch) ?? new Map<string, KeyRecord>();
     epochs.set(key.epoch, records);
-    const known = records.get(key.text);
-    if (known === undefined) {
+    const existing = records.get(key.text);
+    if (existing === undefined) {
       if (keyCount >= limits.maxKeys) return { decision: "full" };
       const current: KeyState = { state: "running", waiting: [] };
       records.set(key.text, { fingerprint, current });
       keyCount += 1;
       return { decision: "run" };
     }
-    if (known.fingerprint !== fingerprint) return { decision: "mismatch" };
-    return { decision: "replay", outcome: replay(known.current) };
+    if (existing.fingerprint !== fingerprint) return { decision: "mismatch" };
+    return { decision: "replay", outcome: replay(existing.current) };
   }
 
   function finish(key: IdempotencyKey, outcome: Outcome): void {
@@ -127,13 +127,13 @@
     } else if (outcome.kind === "unknown") {
       record.current = { state: "unknown", reason: outcome.reason };
     } else {
-      record.current = keepAnswer(outcome.answer);
+      record.current = storeAnswer(outcome.answer);
     }
     if (previous.state !== "running") return;
-    for (const tell of previous.waiting) tell(outcome);
+    for (const resolve of previous.waiting) resolve(outcome);
   }
 
-  function keepAnswer(answer: Answer): KeyState {
+  function storeAnswer(answer: Answer): KeyState {
     const fits = answerBytes + answer.body.length <= limits.maxAnswerBytes;
     if (!fits) return { state: "answered", answer: undefined };
     answerBytes += answer.body.length;
@@ -143,7 +143,7 @@
   return { begin, finish, size: () => keyCount };
 }
 
-function sizeOf(current: KeyState): number {
+function getAnswerBytes(current: KeyState): number {
   if (current.state !== "answered") return 0;
   return current.answer?.body.length ?? 0;
 }
--- a/src/forwarding/key_registry_test.ts
+++ b/src/forwarding/key_registry_test.ts
@@ -6,9 +6,9 @@
 import {
   formatKeyPrefix,
   getKeyEpoch,
-  KEPT_EPOCHS,
   KEY_EPOCH_MS,
   parseKey,
+  RETAINED_EPOCHS,
 } from "./keys.ts";
 import type { Outcome } from "./types.ts";
 
@@ -87,7 +87,7 @@
   const key = makeKey(10);
   registry.begin(key, "f", 10);
   registry.finish(key, makeAnswer("x"));
-  const later = 10 + KEPT_EPOCHS + 1;
+  const later = 10 + RETAINED_EPOCHS + 1;
   assert.equal(registry.begin(key, "f", later), { decision: "expired" });
   assert.is(registry.size(), 0);
   assert.equal(registry.begin(key, "f", 10), { decision: "expired" });
@@ -154,8 +154,8 @@
           epoch += clockStep;
           const key = makeKey(keyEpoch, `key-000${index}`);
           if (action === "begin") {
-            const decided = registry.begin(key, "f", epoch);
-            if (decided.decision !== "run") continue;
+            const result = registry.begin(key, "f", epoch);
+            if (result.decision !== "run") continue;
             assert.is.not(mayRun.get(key.text), false, `${key.text} ran again`);
             mayRun.set(key.text, false);
             running.add(key.text);
--- a/src/forwarding/keys.ts
+++ b/src/forwarding/keys.ts
@@ -9,7 +9,7 @@
 /** Length of an epoch. */
 export const KEY_EPOCH_MS = 60_000;
 /** Epochs, besides the newest, whose keys are remembered and accepted. */
-export const KEPT_EPOCHS = 4;
+export const RETAINED_EPOCHS = 4;
 
 /** A parsed key. */
 export interface IdempotencyKey {
--- a/src/forwarding/link_limit.ts
+++ b/src/forwarding/link_limiter.ts
@@ -10,9 +10,9 @@
 const BURST_S = 0.5;
 
 /** Traffic to one region. */
-interface LinkState {
+interface LinkBucket {
   availableBytes: number;
-  filledMs: number;
+  refilledAtMs: number;
 }
 
 /** Counts bytes against limits. */
@@ -23,25 +23,25 @@
    * @param nowMs Monotonic time, in ms.
    * @returns Whether another request may be sent.
    */
-  mayPass(link: string, limitBytesPerS: number, nowMs: number): boolean;
+  hasCapacity(link: string, limitBytesPerS: number, nowMs: number): boolean;
   /** Counts bytes that passed; an overdraft delays later requests. */
   count(link: string, bytes: number): void;
 }
 
 /** @returns A limiter that has counted nothing. */
 export function createLinkLimiter(): LinkLimiter {
-  const links = new Map<string, LinkState>();
+  const links = new Map<string, LinkBucket>();
   return {
-    mayPass(link, limitBytesPerS, nowMs) {
+    hasCapacity(link, limitBytesPerS, nowMs) {
       const burstBytes = limitBytesPerS * BURST_S;
       const state = links.get(link) ??
-        { availableBytes: burstBytes, filledMs: nowMs };
-      const gained = (nowMs - state.filledMs) / 1_000 * limitBytesPerS;
+        { availableBytes: burstBytes, refilledAtMs: nowMs };
+      const refillBytes = (nowMs - state.refilledAtMs) / 1_000 * limitBytesPerS;
       state.availableBytes = Math.min(
         burstBytes,
-        state.availableBytes + gained,
+        state.availableBytes + refillBytes,
       );
-      state.filledMs = nowMs;
+      state.refilledAtMs = nowMs;
       links.set(link, state);
       return state.availableBytes > 0;
     },
--- a/src/forwarding/local_runner.ts
+++ b/src/forwarding/local_runner.ts
@@ -6,24 +6,24 @@
  */
 import type PQueue from "p-queue";
 import { createFairQueue, type FairQueue } from "../admission/fair_queue.ts";
-import { decideAdmission } from "../admission/logic.ts";
+import { decideAdmission } from "../admission/admission_control.ts";
 import type { ServiceDocument } from "../config/schema.ts";
 import { createMovingMean, type MovingMean } from "../measurement/rate.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { createLogger } from "../runtime/logger.ts";
 import type { Random } from "../runtime/random.ts";
 import type { BackendClient } from "./backend_client.ts";
-import type { Candidate, ChoicePolicy } from "./choice.ts";
-import { createCutOff } from "./cut_off.ts";
-import type { DeadlyRequests } from "./deadly_requests.ts";
-import { createOutcomeMaker } from "./outcomes.ts";
+import type { BalancingPolicy, Candidate } from "./balancing_policy.ts";
+import { createExchangeCancellation } from "./exchange_cancellation.ts";
+import type { PoisonRequestTracker } from "./poison_requests.ts";
+import { createOutcomeFactory } from "./outcomes.ts";
 import { createRetryBudget, decideRetry, type RetryBudget } from "./retry.ts";
 import {
-  getLimit,
-  getMedianLatency,
-  getTotalLimit,
-  listEligible,
-} from "./server_judgement.ts";
+  getConcurrencyLimit,
+  getMedianLatencyMs,
+  getTotalConcurrencyLimit,
+  listEligibleServers,
+} from "./server_limits.ts";
 import {
   beginRequest,
   createServerSet,
@@ -32,25 +32,25 @@
   markLeaving,
   type ServerSet,
   type ServerState,
-} from "./servers.ts";
+} from "./server_set.ts";
 import type { ExchangeResult, ForwardRequest, Outcome } from "./types.ts";
 
 const log = createLogger("forwarding");
 
 /** Weight of the newest service time in the mean. */
-const SERVICE_TIME_WEIGHT = 0.05;
+const SERVICE_TIME_SMOOTHING_FACTOR = 0.05;
 
 /** What the runner needs. */
-export interface RunnerOptions {
+export interface LocalRunnerOptions {
   clock: Clock;
   random: Random;
   backends: BackendClient;
-  policy: ChoicePolicy;
-  deadly: DeadlyRequests;
+  policy: BalancingPolicy;
+  poisonRequests: PoisonRequestTracker;
 }
 
 /** One service's waiting line and servers. */
-export interface ServiceLine {
+export interface ServiceQueue {
   set: ServerSet;
   queue: PQueue<FairQueue>;
   waiting: FairQueue;
@@ -63,49 +63,50 @@
 /** Runs requests in the own failure domain. */
 export interface LocalRunner {
   /** @returns The line of a service; made on first use. */
-  line(document: ServiceDocument): ServiceLine;
-  lines(): ServiceLine[];
+  getServiceQueue(document: ServiceDocument): ServiceQueue;
+  listServiceQueues(): ServiceQueue[];
   /** @returns Whether a request could be started at once. */
-  hasRoom(document: ServiceDocument): boolean;
+  hasFreeSlot(document: ServiceDocument): boolean;
   run(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
   /** Brings the queues' concurrency in line with the servers. */
-  refresh(): void;
+  updateConcurrency(): void;
 }
 
 /**
  * @param options See there.
  * @returns A runner that knows no service yet.
  */
-export function createLocalRunner(options: RunnerOptions): LocalRunner {
-  const { clock, random, backends, policy, deadly } = options;
-  const { notRun, unknown } = createOutcomeMaker(random);
-  const lines = new Map<string, ServiceLine>();
-  const budget: RetryBudget = createRetryBudget();
+export function createLocalRunner(options: LocalRunnerOptions): LocalRunner {
+  const { clock, random, backends, policy, poisonRequests: poisonRequests } =
+    options;
+  const { notRun, unknown } = createOutcomeFactory(random);
+  const serviceQueues = new Map<string, ServiceQueue>();
+  const retryBudget: RetryBudget = createRetryBudget();
 
-  function line(document: ServiceDocument): ServiceLine {
-    const known = lines.get(document.service);
-    if (known) return known;
+  function getServiceQueue(document: ServiceDocument): ServiceQueue {
+    const existing = serviceQueues.get(document.service);
+    if (existing) return existing;
     const { queue, waiting } = createFairQueue();
     const set = createServerSet(document);
-    const made: ServiceLine = {
+    const created: ServiceQueue = {
       set,
       queue,
       waiting,
-      serviceMs: createMovingMean(SERVICE_TIME_WEIGHT),
+      serviceMs: createMovingMean(SERVICE_TIME_SMOOTHING_FACTOR),
       inFlight: () => sumInFlight(set),
-      limit: () => getTotalLimit(set, clock.monotonicMs()),
+      limit: () => getTotalConcurrencyLimit(set, clock.monotonicMs()),
     };
-    lines.set(document.service, made);
-    return made;
+    serviceQueues.set(document.service, created);
+    return created;
   }
 
-  function refresh(): void {
-    for (const { queue, limit } of lines.values()) {
+  function updateConcurrency(): void {
+    for (const { queue, limit } of serviceQueues.values()) {
       queue.concurrency = Math.max(1, limit());
     }
   }
 
-  function getServiceMs({ serviceMs, set }: ServiceLine): number {
+  function getServiceMs({ serviceMs, set }: ServiceQueue): number {
     return serviceMs.value() || set.document.expectedServiceMs;
   }
 
@@ -113,123 +114,135 @@
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
-    const own = line(document);
-    budget.noteRequest();
-    const name = deadly.name(request);
-    const pauseMs = deadly.getPauseMs(name);
-    if (pauseMs !== undefined) {
+    const serviceQueue = getServiceQueue(document);
+    retryBudget.recordRequest();
+    const name = poisonRequests.name(request);
+    const retryAfterMs = poisonRequests.getRetryAfterMs(name);
+    if (retryAfterMs !== undefined) {
       const reason = "Backend servers ended while they ran this request";
-      return Promise.resolve(notRun(reason, pauseMs));
+      return Promise.resolve(notRun(reason, retryAfterMs));
     }
     const { weight } = request.requestClass;
-    const serviceMs = getServiceMs(own);
+    const serviceMs = getServiceMs(serviceQueue);
     const admission = decideAdmission({
       remainingMs: request.deadlineMs - clock.monotonicMs(),
       serviceMs,
-      limit: own.limit(),
-      inFlight: own.queue.pending,
-      waitingInClass: own.waiting.countWaiting(weight),
-      turnShare: own.waiting.getTurnShare(weight),
+      limit: serviceQueue.limit(),
+      inFlight: serviceQueue.queue.pending,
+      waitingInClass: serviceQueue.waiting.countWaiting(weight),
+      classShare: serviceQueue.waiting.getClassShare(weight),
     });
     if (admission.decision === "refuse") {
       return Promise.resolve(notRun(admission.reason, admission.waitMs));
     }
-    return waitAndRun(own, request, { name, serviceMs });
+    return waitForSlot(serviceQueue, request, { name, serviceMs });
   }
 
   /** A request whose time runs out in the line is refused at that moment. */
-  async function waitAndRun(
-    own: ServiceLine,
+  async function waitForSlot(
+    serviceQueue: ServiceQueue,
     request: ForwardRequest,
     { name, serviceMs }: { name: string; serviceMs: number },
   ): Promise<Outcome> {
-    const lineExit = new AbortController();
-    const patienceMs = request.deadlineMs - clock.monotonicMs() - serviceMs;
+    const waitAbort = new AbortController();
+    const maxWaitMs = request.deadlineMs - clock.monotonicMs() - serviceMs;
     const timer = clock.after(
-      Math.max(0, patienceMs),
-      () => lineExit.abort(),
+      Math.max(0, maxWaitMs),
+      () => waitAbort.abort(),
     );
-    const onHangUp = () => lineExit.abort();
-    request.signal.addEventListener("abort", onHangUp, { once: true });
-    const stopWaiting = () => {
+    const onDisconnect = () => waitAbort.abort();
+    request.signal.addEventListener("abort", onDisconnect, { once: true });
+    const releaseWait = () => {
       timer.cancel();
-      request.signal.removeEventListener("abort", onHangUp);
+      request.signal.removeEventListener("abort", onDisconnect);
     };
     try {
-      return await own.queue.add(() => {
-        stopWaiting();
-        return runOnServers(own, request, name);
+      return await serviceQueue.queue.add(() => {
+        releaseWait();
+        return runOnServers(serviceQueue, request, name);
       }, {
         priority: request.requestClass.weight,
         id: request.id,
-        signal: lineExit.signal,
+        signal: waitAbort.signal,
       });
     } catch (cause) {
-      if (!lineExit.signal.aborted) throw cause;
+      if (!waitAbort.signal.aborted) throw cause;
       return notRun("Its time ran out before a slot was free", serviceMs);
     } finally {
-      stopWaiting();
+      releaseWait();
     }
   }
 
   async function runOnServers(
-    own: ServiceLine,
+    serviceQueue: ServiceQueue,
     request: ForwardRequest,
-    name: string,
+    fingerprint: string,
   ): Promise<Outcome> {
-    const tried = new Set<string>();
+    const triedIds = new Set<string>();
     let mayHaveRun = false;
     for (let attempts = 1;; attempts++) {
-      const state = chooseServer(own, tried);
+      const state = selectServer(serviceQueue, triedIds);
       if (state === undefined) {
         const reason = "No backend server has a free slot";
-        return mayHaveRun ? unknown(reason) : notRun(reason, getServiceMs(own));
+        return mayHaveRun
+          ? unknown(reason)
+          : notRun(reason, getServiceMs(serviceQueue));
       }
-      tried.add(state.server.id);
-      const result = await exchange(own, state, request);
+      triedIds.add(state.server.id);
+      const result = await exchange(serviceQueue, state, request);
       if (result.kind === "answer") {
-        deadly.noteAnswer(name);
+        poisonRequests.recordAnswer(fingerprint);
         return result;
       }
       if (result.kind === "failed") {
-        const isNoted = deadly.noteFailure(name, state.server);
+        const recorded = poisonRequests.recordFailure(
+          fingerprint,
+          state.server,
+        );
         // What must not run twice waits for nothing more.
-        if (request.requestClass.idempotent) await isNoted;
+        if (request.requestClass.idempotent) await recorded;
       }
       const decision = decideRetry({
         result,
         idempotent: request.requestClass.idempotent,
         attempts,
         mayHaveRun,
-        hasBudget: budget.hasBudget() && deadly.mayGoOn(name),
-        hasTime: hasTime(own, request),
+        hasBudget: retryBudget.hasBudget() &&
+          poisonRequests.mayRetry(fingerprint),
+        hasTime: hasTime(serviceQueue, request),
       });
       mayHaveRun ||= result.kind === "failed";
       if (decision === "retry") {
-        budget.spend();
+        retryBudget.recordRetry();
         continue;
       }
       const reason = describeResult(result);
       if (decision === "unknown") return unknown(reason);
-      return notRun(reason, getServiceMs(own));
+      return notRun(reason, getServiceMs(serviceQueue));
     }
   }
 
-  function hasTime(own: ServiceLine, request: ForwardRequest): boolean {
+  function hasTime(
+    serviceQueue: ServiceQueue,
+    request: ForwardRequest,
+  ): boolean {
     const remainingMs = request.deadlineMs - clock.monotonicMs();
-    return !request.signal.aborted && remainingMs > getServiceMs(own);
+    return !request.signal.aborted && remainingMs > getServiceMs(serviceQueue);
   }
 
-  function chooseServer(
-    { set }: ServiceLine,
-    tried: ReadonlySet<string>,
+  function selectServer(
+    { set }: ServiceQueue,
+    triedIds: ReadonlySet<string>,
   ): ServerState | undefined {
     const nowMs = clock.monotonicMs();
-    const eligible = listEligible(set, nowMs);
-    const medianMs = getMedianLatency(eligible, set.document.expectedServiceMs);
+    const eligible = listEligibleServers(set, nowMs);
+    const medianMs = getMedianLatencyMs(
+      eligible,
+      set.document.expectedServiceMs,
+    );
     const candidates = eligible.flatMap((state): Candidate[] => {
-      const limit = getLimit(set, state, { medianMs, nowMs });
-      const isFree = state.inFlight < limit && !tried.has(state.server.id);
+      const limit = getConcurrencyLimit(set, state, { medianMs, nowMs });
+      const isFree = state.inFlight < limit && !triedIds.has(state.server.id);
       return isFree ? [{ state, limit }] : [];
     });
     if (candidates.length === 0) return undefined;
@@ -238,34 +251,37 @@
 
   /** An at-most-once request is not cut off: its late answer is kept. */
   async function exchange(
-    own: ServiceLine,
+    serviceQueue: ServiceQueue,
     state: ServerState,
     request: ForwardRequest,
   ): Promise<ExchangeResult> {
     const startMs = clock.monotonicMs();
-    const cutOff = createCutOff(request, clock);
+    const cancellation = createExchangeCancellation(request, clock);
     beginRequest(state);
     const result = await backends.exchange({
-      document: own.set.document,
+      document: serviceQueue.set.document,
       server: state.server,
       request,
-      remainingMs: cutOff.remainingMs,
-      signal: cutOff.signal,
+      remainingMs: cancellation.remainingMs,
+      signal: cancellation.signal,
     });
-    cutOff.release();
+    cancellation.release();
     const nowMs = clock.monotonicMs();
     const durationMs = nowMs - startMs;
     const ok = result.kind === "answer" || result.kind === "shed" ||
-      cutOff.isHungUp();
+      cancellation.isCallerDisconnected();
     endRequest(state, { ok, durationMs, nowMs });
-    noteSignals(state, result);
-    if (result.kind === "answer") own.serviceMs.add(durationMs);
-    else logTrouble(state, result);
+    applyServerSignals(state, result);
+    if (result.kind === "answer") serviceQueue.serviceMs.add(durationMs);
+    else logFailure(state, result);
     return result;
   }
 
   /** Takes in what a server says of itself. */
-  function noteSignals(state: ServerState, result: ExchangeResult): void {
+  function applyServerSignals(
+    state: ServerState,
+    result: ExchangeResult,
+  ): void {
     if (result.kind !== "answer" && result.kind !== "shed") return;
     const nowMs = clock.monotonicMs();
     if (result.leaving) markLeaving(state, "answer", nowMs);
@@ -274,7 +290,7 @@
     }
   }
 
-  function logTrouble(state: ServerState, result: ExchangeResult): void {
+  function logFailure(state: ServerState, result: ExchangeResult): void {
     log.info("Exchange without answer", {
       step: "backend.exchange",
       peer: state.server.id,
@@ -283,14 +299,14 @@
   }
 
   return {
-    line,
-    lines: () => [...lines.values()],
-    hasRoom(document) {
-      const { queue, limit } = line(document);
+    getServiceQueue: getServiceQueue,
+    listServiceQueues: () => [...serviceQueues.values()],
+    hasFreeSlot(document) {
+      const { queue, limit } = getServiceQueue(document);
       return queue.size === 0 && queue.pending < limit();
     },
     run,
-    refresh,
+    updateConcurrency: updateConcurrency,
   };
 }
 
--- a/src/forwarding/local_runner_test.ts
+++ b/src/forwarding/local_runner_test.ts
@@ -8,14 +8,14 @@
 import { createRandom, type Random } from "../runtime/random.ts";
 import type { EndCheck } from "../servers/end_check.ts";
 import { BackendClient, type BackendExchange } from "./backend_client.ts";
-import { ExpectedLatencyChoice } from "./choice.ts";
-import { createDeadlyRequests } from "./deadly_requests.ts";
+import { ExpectedLatencyPolicy } from "./balancing_policy.ts";
+import { createPoisonRequestTracker } from "./poison_requests.ts";
 import { createLocalRunner } from "./local_runner.ts";
-import { markLeaving, syncServers } from "./servers.ts";
+import { markLeaving, syncServers } from "./server_set.ts";
 import type { ExchangeResult, ForwardRequest, Outcome } from "./types.ts";
 
 const SEED = 20261202;
-type Mode =
+type ServerBehavior =
   | "answer"
   | "answer_leaving"
   | "shed"
@@ -25,7 +25,7 @@
   | "dies_after";
 
 /** Servers that behave as told, and remember what they ran. */
-class FakeBackends extends BackendClient {
+class FakeBackendClient extends BackendClient {
   readonly runs = new Map<string, number>();
   readonly inFlight = new Map<string, number>();
   /** Requests that reached each server. */
@@ -33,19 +33,19 @@
   peak = 0;
   readonly #clock: FakeClock;
   readonly #random: Random;
-  readonly #modeOf: () => Mode;
+  readonly #nextBehavior: () => ServerBehavior;
 
-  constructor(clock: FakeClock, random: Random, modeOf: () => Mode) {
+  constructor(clock: FakeClock, random: Random, modeOf: () => ServerBehavior) {
     super();
     this.#clock = clock;
     this.#random = random;
-    this.#modeOf = modeOf;
+    this.#nextBehavior = modeOf;
   }
 
   override exchange(exchange: BackendExchange): Promise<ExchangeResult> {
     const { server, request, signal } = exchange;
-    const mode = this.#modeOf();
-    this.#add(server.id, 1);
+    const mode = this.#nextBehavior();
+    this.#addInFlight(server.id, 1);
     const arrived = this.arrivals.get(server.id) ?? 0;
     this.arrivals.set(server.id, arrived + 1);
     const durationMs = 20 + 100 * this.#random();
@@ -53,21 +53,24 @@
       const finish = (result: ExchangeResult) => {
         timer.cancel();
         signal.removeEventListener("abort", onAbort);
-        this.#add(server.id, -1);
+        this.#addInFlight(server.id, -1);
         resolve(result);
       };
       const onAbort = () => {
-        this.#noteRun(request.id);
+        this.#recordRun(request.id);
         finish({ kind: "failed", reason: "cut off" });
       };
       const timer = this.#clock.after(durationMs, () => {
-        finish(this.#end(mode, exchange));
+        finish(this.#respond(mode, exchange));
       });
       signal.addEventListener("abort", onAbort);
     });
   }
 
-  #end(mode: Mode, { server, request }: BackendExchange): ExchangeResult {
+  #respond(
+    mode: ServerBehavior,
+    { server, request }: BackendExchange,
+  ): ExchangeResult {
     switch (mode) {
       case "shed":
         return { kind: "shed", leaving: false };
@@ -78,11 +81,11 @@
       case "dies_before":
         return { kind: "failed", reason: "reset" };
       case "dies_after":
-        this.#noteRun(request.id);
+        this.#recordRun(request.id);
         return { kind: "failed", reason: "reset" };
       case "answer":
       case "answer_leaving": {
-        this.#noteRun(request.id);
+        this.#recordRun(request.id);
         const body = Buffer.from(request.id);
         const serverId = server.id;
         const answer = { status: 200, contentType: undefined, body, serverId };
@@ -92,11 +95,11 @@
     }
   }
 
-  #noteRun(id: string): void {
+  #recordRun(id: string): void {
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
   }
 
-  #add(id: string, change: number): void {
+  #addInFlight(id: string, change: number): void {
     const count = (this.inFlight.get(id) ?? 0) + change;
     this.inFlight.set(id, count);
     this.peak = Math.max(this.peak, count);
@@ -129,22 +132,31 @@
   ],
 });
 
-function setUp(modeOf: (random: Random) => Mode, seed = SEED) {
+function createTestRunner(
+  modeOf: (random: Random) => ServerBehavior,
+  seed = SEED,
+) {
   const clock = createFakeClock();
   const random = createRandom(seed);
-  const backends = new FakeBackends(clock, random, () => modeOf(random));
-  const policy = new ExpectedLatencyChoice(random);
+  const backends = new FakeBackendClient(clock, random, () => modeOf(random));
+  const policy = new ExpectedLatencyPolicy(random);
   const endCheck: EndCheck = { check: () => Promise.resolve("ended") };
-  const deadly = createDeadlyRequests(clock, endCheck);
-  const runner = createLocalRunner({ clock, random, backends, policy, deadly });
-  const { set } = runner.line(document);
+  const deadly = createPoisonRequestTracker(clock, endCheck);
+  const runner = createLocalRunner({
+    clock,
+    random,
+    backends,
+    policy,
+    poisonRequests: deadly,
+  });
+  const { set } = runner.getServiceQueue(document);
   syncServers(set, document, {
     failureDomain: "a1",
     entry: { index: 0, count: 1 },
-    leavingReason: () => undefined,
+    getLeavingReason: () => undefined,
     nowMs: 0,
   });
-  runner.refresh();
+  runner.updateConcurrency();
   return { clock, backends, runner, set };
 }
 
@@ -197,13 +209,13 @@
       fc.double({ min: 0, max: 0.6, noNaN: true }),
       fc.nat(1_000_000),
       async (planned, faultShare, seed) => {
-        const faults: Mode[] = [
+        const faults: ServerBehavior[] = [
           "shed",
           "not_sent",
           "dies_before",
           "dies_after",
         ];
-        const { clock, backends, runner, set } = setUp(
+        const { clock, backends, runner, set } = createTestRunner(
           (random) =>
             random() < faultShare
               ? faults[Math.floor(random() * faults.length)]
@@ -217,11 +229,14 @@
             results.push({ request, outcome });
           });
           await advance(clock, made.gapMs);
-          runner.refresh();
+          runner.updateConcurrency();
         }
         await advance(clock, 13_000);
         assert.is(results.length, planned.length, "a request has no outcome");
-        assert.ok(backends.peak <= SLOTS, `${backends.peak} at one server`);
+        assert.ok(
+          backends.peak <= SLOTS,
+          `${backends.peak} at one server`,
+        );
         for (const { request, outcome } of results) {
           const runs = backends.runs.get(request.id) ?? 0;
           kinds[outcome.kind] = (kinds[outcome.kind] ?? 0) + 1;
@@ -242,7 +257,7 @@
 });
 
 test("what can't be answered in time is refused at arrival", async () => {
-  const { clock, runner } = setUp(() => "answer");
+  const { clock, runner } = createTestRunner(() => "answer");
   const outcomes: (Outcome["kind"] | "waiting")[] = [];
   for (let index = 0; index < 60; index++) {
     outcomes.push("waiting");
@@ -263,7 +278,7 @@
 });
 
 test("a caller that hangs up in the line is not run", async () => {
-  const { clock, runner, backends } = setUp(() => "answer");
+  const { clock, runner, backends } = createTestRunner(() => "answer");
   const options = { clock, idempotent: true, timeMs: 900 };
   for (let index = 0; index < 9; index++) {
     void runner.run(document, makeRequest(`r${index}`, options));
@@ -281,7 +296,7 @@
 });
 
 test("a request under which servers end is not sent to further ones", async () => {
-  const { clock, runner, backends } = setUp(() => "dies_after");
+  const { clock, runner, backends } = createTestRunner(() => "dies_after");
   for (let index = 0; index < 10; index++) {
     const options = { clock, idempotent: true, timeMs: 900 };
     const request = { ...makeRequest(`r${index}`, options), path: "/deadly" };
@@ -295,9 +310,9 @@
 });
 
 test("a leaving server gets no new work at once", async () => {
-  const { clock, runner, backends, set } = setUp(() => "answer");
+  const { clock, runner, backends, set } = createTestRunner(() => "answer");
   markLeaving(set.servers.get("s-0")!, "document", 0);
-  runner.refresh();
+  runner.updateConcurrency();
   const options = { clock, idempotent: true, timeMs: 900 };
   const runs = Array.from(
     { length: 10 },
@@ -309,8 +324,8 @@
 });
 
 /** Runs requests one after the other, and counts what reached each server. */
-async function countArrivals(mode: Mode, requests: number) {
-  const { clock, runner, backends } = setUp(() => mode);
+async function countArrivals(mode: ServerBehavior, requests: number) {
+  const { clock, runner, backends } = createTestRunner(() => mode);
   const options = { clock, idempotent: true, timeMs: 900 };
   for (let index = 0; index < requests; index++) {
     const run = runner.run(document, makeRequest(`r${index}`, options));
--- a/src/forwarding/outcomes.ts
+++ b/src/forwarding/outcomes.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import { makeRetryAfter } from "../admission/logic.ts";
+import { computeRetryAfterS } from "../admission/admission_control.ts";
 import type { Random } from "../runtime/random.ts";
 import type { Outcome } from "./types.ts";
 
 /** Makes outcomes; times to come back are spread by chance. */
-export interface OutcomeMaker {
+export interface OutcomeFactory {
   /** Proven not run; `waitMs` is when it could have started. */
   notRun(reason: string, waitMs: number): Outcome;
   /** It may have run. */
@@ -19,14 +19,14 @@
  * @param random The random source.
  * @returns The maker.
  */
-export function createOutcomeMaker(random: Random): OutcomeMaker {
+export function createOutcomeFactory(random: Random): OutcomeFactory {
   return {
     notRun(reason, waitMs) {
-      const retryAfterS = makeRetryAfter(waitMs, random());
+      const retryAfterS = computeRetryAfterS(waitMs, random());
       return { kind: "not_run", reason, retryAfterS };
     },
     unknown(reason) {
-      const retryAfterS = makeRetryAfter(0, random());
+      const retryAfterS = computeRetryAfterS(0, random());
       return { kind: "unknown", reason, retryAfterS };
     },
   };
--- a/src/forwarding/peer_client.ts
+++ b/src/forwarding/peer_client.ts
@@ -48,7 +48,7 @@
 /** Reaches other entries over HTTP. */
 export class HttpPeerClient extends PeerClient {
   readonly #key: string;
-  readonly #translate: (address: string) => string;
+  readonly #resolveAddress: (address: string) => string;
   readonly #pools = new Map<string, Pool>();
 
   /**
@@ -58,13 +58,13 @@
   constructor(key: string, translate: (address: string) => string) {
     super();
     this.#key = key;
-    this.#translate = translate;
+    this.#resolveAddress = translate;
   }
 
   override async handOver(handover: Handover): Promise<HandoverResult> {
     const { address, request, signal } = handover;
     try {
-      const response = await this.#poolOf(address).request({
+      const response = await this.#getPool(address).request({
         method: "POST",
         path: HANDOVER_PATH,
         headers: makeHeaders(handover, this.#key),
@@ -86,10 +86,10 @@
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #poolOf(address: string): Pool {
-    const known = this.#pools.get(address);
-    if (known) return known;
-    const pool = new Pool(`http://${this.#translate(address)}`, {
+  #getPool(address: string): Pool {
+    const existing = this.#pools.get(address);
+    if (existing) return existing;
+    const pool = new Pool(`http://${this.#resolveAddress(address)}`, {
       connections: CONNECTIONS_PER_PEER,
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
--- a/src/forwarding/deadly_requests.ts
+++ b/src/forwarding/poison_requests.ts
@@ -21,20 +21,20 @@
 const log = createLogger("forwarding");
 
 /** What a server drops as it ends is noticed within that time. */
-const SAME_END_MS = 1_000;
+const CRASH_WINDOW_MS = 1_000;
 
 /** What an entry holds against requests. */
-export interface DeadlyRequests {
+export interface PoisonRequestTracker {
   /** @returns A name that each repeat of the request has as well. */
   name(request: ForwardRequest): string;
   /** @returns Time until it may run; undefined where it may now. */
-  getPauseMs(name: string): number | undefined;
+  getRetryAfterMs(name: string): number | undefined;
   /** @returns Whether it may be sent on within the same arrival. */
-  mayGoOn(name: string): boolean;
+  mayRetry(name: string): boolean;
   /** Notes that a server ran it to an answer. */
-  noteAnswer(name: string): void;
+  recordAnswer(name: string): void;
   /** Looks whether a server ended that gave no answer. */
-  noteFailure(name: string, server: BackendServer): Promise<void>;
+  recordFailure(name: string, server: BackendServer): Promise<void>;
   close(): void;
 }
 
@@ -43,54 +43,56 @@
  * @param endCheck Tells servers that ended.
  * @returns An entry's memory that holds nothing against any request.
  */
-export function createDeadlyRequests(
+export function createPoisonRequestTracker(
   clock: Clock,
   endCheck: EndCheck,
-): DeadlyRequests {
-  const board = createNewsBoard(clock);
-  const ends = new Map<string, { count: number; atMs: number }>();
-  const suspects = createSuspects({
+): PoisonRequestTracker {
+  const factStore = createNewsBoard(clock);
+  const crashes = new Map<string, { count: number; atMs: number }>();
+  const suspectTracker = createSuspects({
     clock,
     log: createSilentLog(),
     ownId: "entry",
     terms: { maxServerEnds: DEFAULT_MAX_SERVER_ENDS },
-    publish: (items) => void board.apply(items),
-    forget: (items) => void board.apply(items),
+    publish: (items) => void factStore.apply(items),
+    forget: (items) => void factStore.apply(items),
   });
-  board.subscribe(suspects.apply);
+  factStore.subscribe(suspectTracker.apply);
 
   /** Backend servers keep their name when they start again. */
-  function nameStart({ id }: BackendServer): string {
+  function getInstanceId({ id }: BackendServer): string {
     const nowMs = clock.monotonicMs();
-    const last = ends.get(id) ?? { count: 0, atMs: -Infinity };
-    const isSame = nowMs - last.atMs < SAME_END_MS;
-    const end = isSame ? last : { count: last.count + 1, atMs: nowMs };
-    ends.set(id, end);
-    return `${id} ${end.count}`;
+    const lastCrash = crashes.get(id) ?? { count: 0, atMs: -Infinity };
+    const isSameCrash = nowMs - lastCrash.atMs < CRASH_WINDOW_MS;
+    const crash = isSameCrash
+      ? lastCrash
+      : { count: lastCrash.count + 1, atMs: nowMs };
+    crashes.set(id, crash);
+    return `${id} ${crash.count}`;
   }
 
   return {
     name: ({ method, service, path, body }) =>
       makeFingerprint({ method, host: service, path, caller: "", body }),
-    getPauseMs(name) {
-      const judgement = suspects.judge(name);
-      if (judgement.kind === "set_aside") return judgement.retryAfterMs;
-      if (judgement.kind === "suspect") suspects.noteTried(name);
+    getRetryAfterMs(name) {
+      const assessment = suspectTracker.judge(name);
+      if (assessment.kind === "set_aside") return assessment.retryAfterMs;
+      if (assessment.kind === "suspect") suspectTracker.noteTried(name);
       return undefined;
     },
-    mayGoOn: (name) => maySendAgain(suspects.judge(name)),
-    noteAnswer: suspects.noteAnswer,
-    close: suspects.stop,
-    async noteFailure(name, server) {
+    mayRetry: (name) => maySendAgain(suspectTracker.judge(name)),
+    recordAnswer: suspectTracker.noteAnswer,
+    close: suspectTracker.stop,
+    async recordFailure(name, server) {
       const verdict = await endCheck.check(server);
       if (verdict !== "ended") return;
-      suspects.noteEnd(name, nameStart(server));
-      const judgement = suspects.judge(name);
+      suspectTracker.noteEnd(name, getInstanceId(server));
+      const assessment = suspectTracker.judge(name);
       log.info("Backend server ended under a request", {
         step: "backend.exchange",
         peer: server.id,
         request: name,
-        judgement: judgement.kind,
+        judgement: assessment.kind,
       });
     },
   };
--- a/src/forwarding/flow.ts
+++ b/src/forwarding/request_forwarder.ts
@@ -6,7 +6,7 @@
  */
 import type { ServiceDocument } from "../config/schema.ts";
 import type { ControlAgent } from "../control/types.ts";
-import { isDomainDrained } from "../draining/logic.ts";
+import { isDomainDrained } from "../draining/drain_status.ts";
 import { LOAD_REFRESH_MS } from "../measurement/state.ts";
 import type { Member } from "../membership/types.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -15,12 +15,12 @@
 import { findLink, getDelayMs } from "../steering/estimate.ts";
 import { pickRegion, rankDomains } from "../steering/place.ts";
 import type { Steering } from "../steering/steering.ts";
-import { createCutOff } from "./cut_off.ts";
+import { createExchangeCancellation } from "./exchange_cancellation.ts";
 import type { KeyRegistry } from "./key_registry.ts";
 import { getKeyEpoch, type IdempotencyKey } from "./keys.ts";
-import type { LinkLimiter } from "./link_limit.ts";
+import type { LinkLimiter } from "./link_limiter.ts";
 import type { LocalRunner } from "./local_runner.ts";
-import { createOutcomeMaker } from "./outcomes.ts";
+import { createOutcomeFactory } from "./outcomes.ts";
 import type {
   HandoverMode,
   HandoverResult,
@@ -33,14 +33,14 @@
 /** Failure domains tried for one request. */
 const MAX_DOMAINS = 3;
 /** A peer that uses more than this share of its slots is not handed work. */
-const PEER_HAS_ROOM = 0.85;
+const MAX_PEER_UTILIZATION = 0.85;
 /** Age at which a peer's figures say nothing: one report of them was missed. */
-const PEER_FIGURES_MS = LOAD_REFRESH_MS * 1.5;
+const MAX_LOAD_AGE_MS = LOAD_REFRESH_MS * 1.5;
 /** Bytes of a request's and an answer's headers, roughly. */
 const HEADER_BYTES = 900;
 
 /** What the flow needs. */
-export interface FlowOptions {
+export interface RequestForwarderOptions {
   agent: ControlAgent;
   steering: Steering;
   runner: LocalRunner;
@@ -52,38 +52,43 @@
 }
 
 /** Carries requests. */
-export interface Flow {
+export interface RequestForwarder {
   /** Carries a caller's request, or one whose key this entry owns. */
-  carry(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
+  handle(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
   /** Runs a request that another entry placed here. */
-  runHere(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
+  runLocally(
+    document: ServiceDocument,
+    request: ForwardRequest,
+  ): Promise<Outcome>;
 }
 
 /**
  * @param options See there.
  * @returns The flow.
  */
-export function createFlow(options: FlowOptions): Flow {
+export function createRequestForwarder(
+  options: RequestForwarderOptions,
+): RequestForwarder {
   const { agent, steering, runner, peers, links, registry, clock, random } =
     options;
-  const { notRun, unknown } = createOutcomeMaker(random);
+  const { notRun, unknown } = createOutcomeFactory(random);
   const { self } = agent;
 
-  function carry(
+  function handle(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
     const { key } = request;
-    if (key === undefined) return place(document, request);
+    if (key === undefined) return routeToDomain(document, request);
     const isOwn = key.vmId === self.vmId &&
       key.incarnation === self.incarnation;
-    const carried = isOwn
-      ? carryOwn(document, request, key)
-      : askOwner(request, key);
-    return untilDeadline(carried, request);
+    const pending = isOwn
+      ? runOwnKey(document, request, key)
+      : forwardToOwner(request, key);
+    return resolveByDeadline(pending, request);
   }
 
-  function carryOwn(
+  function runOwnKey(
     document: ServiceDocument,
     request: ForwardRequest,
     key: IdempotencyKey,
@@ -93,12 +98,12 @@
         request.body.toString("latin1"),
     );
     const epoch = getKeyEpoch(clock.now().getTime());
-    const decided = registry.begin(key, fingerprint, epoch);
-    switch (decided.decision) {
+    const result = registry.begin(key, fingerprint, epoch);
+    switch (result.decision) {
       case "run":
         return runOnce(document, request, key);
       case "replay":
-        return decided.outcome;
+        return result.outcome;
       case "mismatch":
         return Promise.resolve(
           notRun("The key was used with another request", 0),
@@ -117,7 +122,7 @@
   ): Promise<Outcome> {
     let outcome: Outcome = unknown("It failed inside this entry");
     try {
-      outcome = await place(document, request);
+      outcome = await routeToDomain(document, request);
     } finally {
       registry.finish(key, outcome);
     }
@@ -125,7 +130,7 @@
   }
 
   /** Only the owner may say anything certain about a key. */
-  async function askOwner(
+  async function forwardToOwner(
     request: ForwardRequest,
     key: IdempotencyKey,
   ): Promise<Outcome> {
@@ -141,17 +146,17 @@
     return unknown(`The entry that owns the key did not answer`);
   }
 
-  function place(
+  function routeToDomain(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
-    const placing = {
+    const placement = {
       service: request.service,
       block: request.block,
       row: steering.rowFor(request.service, request.callerRegion),
       regionOf: agent.config().regionOf,
     };
-    const region = pickRegion(placing);
+    const region = pickRegion(placement);
     if (region === undefined) {
       return Promise.resolve(
         notRun("No region is planned for these callers", 1_000),
@@ -159,8 +164,8 @@
     }
     const domains = listDomains(document, region);
     const ranked = [
-      ...rankDomains(placing, domains.open),
-      ...rankDomains(placing, domains.drained),
+      ...rankDomains(placement, domains.open),
+      ...rankDomains(placement, domains.drained),
     ].slice(0, MAX_DOMAINS);
     if (ranked.length === 0) {
       return Promise.resolve(
@@ -204,20 +209,20 @@
     let last: Outcome = notRun("No failure domain took it", 1_000);
     for (const domain of domains) {
       last = domain === self.failureDomain
-        ? await runHere(document, request)
-        : await sendTo(domain, request);
+        ? await runLocally(document, request)
+        : await sendToDomain(domain, request);
       const hasTime = clock.monotonicMs() < request.deadlineMs;
       if (last.kind !== "not_run" || !hasTime) return last;
     }
     return last;
   }
 
-  async function runHere(
+  async function runLocally(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
-    if (!runner.hasRoom(document) && request.hops < MAX_HOPS) {
-      const peer = findPeerWithRoom();
+    if (!runner.hasFreeSlot(document) && request.hops < MAX_HOPS) {
+      const peer = findPeerWithCapacity();
       if (peer) {
         const result = await handOver(peer, "run", {
           ...request,
@@ -231,28 +236,30 @@
   }
 
   /** Work moves to where slots are free; slots never move. */
-  function findPeerWithRoom(): Member | undefined {
+  function findPeerWithCapacity(): Member | undefined {
     const nowMs = clock.monotonicMs();
     const candidates = agent.serving("entry")
       .filter((member) =>
         member.failureDomain === self.failureDomain && member.id !== self.id
       )
       .flatMap((member) => {
-        const figures = agent.loads().get(member.id);
-        if (!figures || nowMs - figures.receivedMs > PEER_FIGURES_MS) return [];
-        const { utilization } = figures.load;
-        return utilization < PEER_HAS_ROOM ? [{ member, utilization }] : [];
+        const report = agent.loads().get(member.id);
+        if (!report || nowMs - report.receivedMs > MAX_LOAD_AGE_MS) return [];
+        const { utilization } = report.load;
+        return utilization < MAX_PEER_UTILIZATION
+          ? [{ member, utilization }]
+          : [];
       })
       .sort((a, b) => a.utilization - b.utilization);
     return candidates[0]?.member;
   }
 
-  async function sendTo(
+  async function sendToDomain(
     domain: string,
     request: ForwardRequest,
   ): Promise<Outcome> {
     const region = agent.config().regionOf.get(domain) ?? domain;
-    if (!mayCross(region)) {
+    if (!hasLinkCapacity(region)) {
       return notRun(`The link to region ${region} is full`, 1_000);
     }
     const candidates = listEntries(region)
@@ -265,11 +272,11 @@
       last = toOutcome(result);
       if (result.kind !== "not_sent") break;
     }
-    countLink(region, request, last);
+    countLinkBytes(region, request, last);
     return last;
   }
 
-  function getLinkShare(region: string): number {
+  function getLinkLimitShare(region: string): number {
     const fleet = agent.config().fleet!.document;
     const link = findLink(fleet, self.region, region);
     const { regionOf } = agent.config();
@@ -278,19 +285,25 @@
     return (link?.limitBytesPerS ?? 0) / Math.max(1, vmCount);
   }
 
-  function mayCross(region: string): boolean {
+  function hasLinkCapacity(region: string): boolean {
     if (region === self.region) return true;
-    return links.mayPass(region, getLinkShare(region), clock.monotonicMs());
+    return links.hasCapacity(
+      region,
+      getLinkLimitShare(region),
+      clock.monotonicMs(),
+    );
   }
 
-  function countLink(
+  function countLinkBytes(
     region: string,
     request: ForwardRequest,
     outcome: Outcome,
   ): void {
     if (region === self.region) return;
-    const answered = outcome.kind === "answer" ? outcome.answer.body.length : 0;
-    links.count(region, request.body.length + answered + HEADER_BYTES);
+    const answerBytes = outcome.kind === "answer"
+      ? outcome.answer.body.length
+      : 0;
+    links.count(region, request.body.length + answerBytes + HEADER_BYTES);
   }
 
   function handOver(
@@ -304,15 +317,15 @@
       const reason = `No VM is named ${member.vmId}`;
       return Promise.resolve({ kind: "not_sent", reason });
     }
-    const wayMs = getDelayMs(fleet, self.region, member.region);
-    const cutOff = createCutOff(request, clock);
+    const oneWayMs = getDelayMs(fleet, self.region, member.region);
+    const cancellation = createExchangeCancellation(request, clock);
     return peers.handOver({
       address: vm.entry.peer,
       mode,
       request,
-      remainingMs: cutOff.remainingMs - 2 * wayMs,
-      signal: cutOff.signal,
-    }).finally(cutOff.release);
+      remainingMs: cancellation.remainingMs - 2 * oneWayMs,
+      signal: cancellation.signal,
+    }).finally(cancellation.release);
   }
 
   function toOutcome(result: HandoverResult): Outcome {
@@ -322,8 +335,8 @@
   }
 
   /** The caller is told at its deadline; the late answer is still kept. */
-  function untilDeadline(
-    carried: Promise<Outcome>,
+  function resolveByDeadline(
+    pending: Promise<Outcome>,
     request: ForwardRequest,
   ): Promise<Outcome> {
     return new Promise((resolve, reject) => {
@@ -331,9 +344,9 @@
         Math.max(0, request.deadlineMs - clock.monotonicMs()),
         () => resolve(unknown("No answer before the deadline")),
       );
-      carried.then(resolve, reject).finally(() => timer.cancel());
+      pending.then(resolve, reject).finally(() => timer.cancel());
     });
   }
 
-  return { carry, runHere };
+  return { handle: handle, runLocally: runLocally };
 }
--- a/src/forwarding/flow_test.ts
+++ b/src/forwarding/request_forwarder_test.ts
@@ -13,10 +13,10 @@
 import { createFakeClock } from "../runtime/clock.ts";
 import { createRandom } from "../runtime/random.ts";
 import type { Steering } from "../steering/steering.ts";
-import { createFlow } from "./flow.ts";
+import { createRequestForwarder } from "./request_forwarder.ts";
 import { createKeyRegistry } from "./key_registry.ts";
 import { formatKeyPrefix, parseKey } from "./keys.ts";
-import { createLinkLimiter } from "./link_limit.ts";
+import { createLinkLimiter } from "./link_limiter.ts";
 import type { LocalRunner } from "./local_runner.ts";
 import {
   type Handover,
@@ -32,7 +32,7 @@
   serverId: "s-1",
 };
 const answered: Outcome = { kind: "answer", answer };
-const full: Outcome = { kind: "not_run", reason: "full", retryAfterS: 1 };
+const refused: Outcome = { kind: "not_run", reason: "full", retryAfterS: 1 };
 
 const document = serviceSchema.parse({
   service: "s",
@@ -63,15 +63,15 @@
   };
 }
 
-type Behaviour = (handover: Handover) => HandoverResult;
+type HandoverStub = (handover: Handover) => HandoverResult;
 
-class FakePeers extends PeerClient {
+class FakePeerClient extends PeerClient {
   readonly handovers: Handover[] = [];
-  behaviour: Behaviour = () => ({ kind: "outcome", outcome: answered });
+  respond: HandoverStub = () => ({ kind: "outcome", outcome: answered });
 
   override handOver(handover: Handover): Promise<HandoverResult> {
     this.handovers.push(handover);
-    return Promise.resolve(this.behaviour(handover));
+    return Promise.resolve(this.respond(handover));
   }
 
   override close(): Promise<void> {
@@ -79,16 +79,16 @@
   }
 }
 
-interface SetUp {
+interface TestOptions {
   local?: Outcome | (() => Promise<Outcome>);
   row?: Record<string, number>;
   alive?: string[];
   dead?: string[];
   /** Age of the figures of the other entry of the own domain, in ms. */
-  peerFiguresMs?: number;
+  peerLoadAgeMs?: number;
 }
 
-function setUp(options: SetUp = {}) {
+function createTestForwarder(options: TestOptions = {}) {
   const { local = answered, row = { a1: 1 } } = options;
   const { alive = ["a1-x", "a2-x", "b1-x"], dead = [] } = options;
   const clock = createFakeClock();
@@ -113,12 +113,12 @@
     },
   };
   const members = alive.map(makeMember);
-  const { peerFiguresMs } = options;
+  const { peerLoadAgeMs: peerLoadAgeMs } = options;
   const loads: LoadState = new Map();
-  if (peerFiguresMs !== undefined) {
+  if (peerLoadAgeMs !== undefined) {
     const entryId = "a1-y/entry";
     const load = { entryId, failureDomain: "a1", utilization: 0, services: [] };
-    noteLoad(loads, load, clock.monotonicMs() - peerFiguresMs);
+    noteLoad(loads, load, clock.monotonicMs() - peerLoadAgeMs);
   }
   const agent = {
     self: makeMember("a1-x"),
@@ -135,14 +135,14 @@
   } as unknown as ControlAgent;
   let localRuns = 0;
   const runner = {
-    hasRoom: () => peerFiguresMs === undefined,
+    hasFreeSlot: () => peerLoadAgeMs === undefined,
     run() {
       localRuns += 1;
       return typeof local === "function" ? local() : Promise.resolve(local);
     },
   } as unknown as LocalRunner;
-  const peers = new FakePeers();
-  const flow = createFlow({
+  const peers = new FakePeerClient();
+  const forwarder = createRequestForwarder({
     agent,
     steering: { rowFor: () => row } as unknown as Steering,
     runner,
@@ -152,7 +152,7 @@
     clock,
     random: createRandom(1),
   });
-  return { flow, peers, clock, localRuns: () => localRuns };
+  return { forwarder, peers, clock, localRuns: () => localRuns };
 }
 
 function makeRequest(changes: Partial<ForwardRequest> = {}): ForwardRequest {
@@ -174,7 +174,7 @@
   };
 }
 
-function makeBooking(owner: string, incarnation = 1): ForwardRequest {
+function makeAtMostOnceRequest(owner: string, incarnation = 1): ForwardRequest {
   const prefix = formatKeyPrefix(owner, incarnation, 1_700_000_000_000);
   return makeRequest({
     requestClass: document.classes[1],
@@ -184,109 +184,127 @@
 }
 
 test("a request of the own failure domain runs here", async () => {
-  const { flow, peers } = setUp();
-  assert.equal(await flow.carry(document, makeRequest()), answered);
+  const { forwarder, peers } = createTestForwarder();
+  assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.is(peers.handovers.length, 0);
 });
 
 test("what the own failure domain refuses goes to another of the region", async () => {
-  const { flow, peers } = setUp({ local: full });
-  assert.equal(await flow.carry(document, makeRequest()), answered);
+  const { forwarder, peers } = createTestForwarder({ local: refused });
+  assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.equal(peers.handovers.map(({ address }) => address), ["a2-x"]);
 });
 
 test("a refusal never sends a request to another region", async () => {
-  const { flow, peers } = setUp({ local: full });
-  peers.behaviour = () => ({ kind: "outcome", outcome: full });
-  const outcome = await flow.carry(document, makeRequest());
+  const { forwarder, peers } = createTestForwarder({ local: refused });
+  peers.respond = () => ({ kind: "outcome", outcome: refused });
+  const outcome = await forwarder.handle(document, makeRequest());
   assert.is(outcome.kind, "not_run");
   assert.not.ok(peers.handovers.some(({ address }) => address === "b1-x"));
 });
 
 test("a lost region's callers are refused at once until the plan moves", async () => {
-  const { flow, localRuns } = setUp({ row: { b1: 1 }, alive: ["a1-x"] });
-  const outcome = await flow.carry(document, makeRequest());
+  const { forwarder, localRuns } = createTestForwarder({
+    row: { b1: 1 },
+    alive: ["a1-x"],
+  });
+  const outcome = await forwarder.handle(document, makeRequest());
   assert.is(outcome.kind, "not_run");
   assert.is(localRuns(), 0);
 });
 
 test("a region planned elsewhere is reached over its link", async () => {
-  const { flow, peers } = setUp({ row: { b1: 1 } });
-  assert.equal(await flow.carry(document, makeRequest()), answered);
+  const { forwarder, peers } = createTestForwarder({ row: { b1: 1 } });
+  assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.is(peers.handovers[0].address, "b1-x");
   assert.is(peers.handovers[0].remainingMs, 1_000 - 60);
 });
 
 test("a full link refuses, and lets pass again as time goes on", async () => {
-  const { flow, clock } = setUp({ row: { b1: 1 } });
+  const { forwarder, clock } = createTestForwarder({ row: { b1: 1 } });
   const send = () =>
-    flow.carry(document, makeRequest({ body: Buffer.alloc(3_000) }));
+    forwarder.handle(document, makeRequest({ body: Buffer.alloc(3_000) }));
   const kinds: string[] = [];
   for (let count = 0; count < 4; count++) kinds.push((await send()).kind);
   assert.equal(kinds, ["answer", "not_run", "not_run", "not_run"]);
   clock.advance(900);
   const late = makeRequest({ deadlineMs: 3_000 });
-  assert.is((await flow.carry(document, late)).kind, "answer");
+  assert.is((await forwarder.handle(document, late)).kind, "answer");
 });
 
-const brokenPeers: [string, HandoverResult, boolean, Outcome["kind"]][] = [
+const handoverFailures: [string, HandoverResult, boolean, Outcome["kind"]][] = [
   ["nothing was sent", { kind: "not_sent", reason: "" }, true, "not_run"],
   ["nothing was sent", { kind: "not_sent", reason: "" }, false, "not_run"],
   ["the connection broke", { kind: "failed", reason: "" }, true, "unknown"],
   ["the connection broke", { kind: "failed", reason: "" }, false, "unknown"],
 ];
 
-for (const [name, result, idempotent, expected] of brokenPeers) {
+for (const [name, result, idempotent, expected] of handoverFailures) {
   const kind = idempotent ? "idempotent" : "at most once";
   test(`hand-over, ${kind}: ${name}: ${expected}`, async () => {
-    const { flow, peers } = setUp({ row: { b1: 1 } });
-    peers.behaviour = () => result;
-    const request = idempotent ? makeRequest() : makeBooking("a1-x");
-    assert.is((await flow.carry(document, request)).kind, expected);
+    const { forwarder, peers } = createTestForwarder({ row: { b1: 1 } });
+    peers.respond = () => result;
+    const request = idempotent ? makeRequest() : makeAtMostOnceRequest("a1-x");
+    assert.is((await forwarder.handle(document, request)).kind, expected);
     assert.is(peers.handovers.length, 1);
   });
 }
 
-const figureAges: [number, boolean][] = [
+const peerLoadAges: [number, boolean][] = [
   [0, true],
   [LOAD_REFRESH_MS, true],
   [10 * LOAD_REFRESH_MS, false],
 ];
 
-for (const [peerFiguresMs, isAsked] of figureAges) {
+for (const [peerLoadAgeMs, isAsked] of peerLoadAges) {
   const verb = isAsked ? "goes" : "does not go";
-  test(`without a free slot, work ${verb} to a peer last heard ${peerFiguresMs} ms ago`, async () => {
+  test(`without a free slot, work ${verb} to a peer last heard ${peerLoadAgeMs} ms ago`, async () => {
     const alive = ["a1-x", "a1-y"];
-    const { flow, peers } = setUp({ alive, peerFiguresMs });
-    assert.equal(await flow.carry(document, makeRequest()), answered);
+    const { forwarder, peers } = createTestForwarder({
+      alive,
+      peerLoadAgeMs: peerLoadAgeMs,
+    });
+    assert.equal(await forwarder.handle(document, makeRequest()), answered);
     const asked = peers.handovers.map(({ address }) => address);
     assert.equal(asked, isAsked ? ["a1-y"] : []);
   });
 }
 
 test("a repeated key is not run again, its answer is given again", async () => {
-  const { flow, localRuns } = setUp();
-  assert.equal(await flow.carry(document, makeBooking("a1-x")), answered);
-  assert.equal(await flow.carry(document, makeBooking("a1-x")), answered);
+  const { forwarder, localRuns } = createTestForwarder();
+  assert.equal(
+    await forwarder.handle(document, makeAtMostOnceRequest("a1-x")),
+    answered,
+  );
+  assert.equal(
+    await forwarder.handle(document, makeAtMostOnceRequest("a1-x")),
+    answered,
+  );
   assert.is(localRuns(), 1);
 });
 
 test("a key with another body is refused as not run", async () => {
-  const { flow, localRuns } = setUp();
-  await flow.carry(document, makeBooking("a1-x"));
-  const other = { ...makeBooking("a1-x"), body: Buffer.from("other") };
-  assert.is((await flow.carry(document, other)).kind, "not_run");
+  const { forwarder, localRuns } = createTestForwarder();
+  await forwarder.handle(document, makeAtMostOnceRequest("a1-x"));
+  const other = {
+    ...makeAtMostOnceRequest("a1-x"),
+    body: Buffer.from("other"),
+  };
+  assert.is((await forwarder.handle(document, other)).kind, "not_run");
   assert.is(localRuns(), 1);
 });
 
 test("another entry's key is handed to it, and only it decides", async () => {
-  const { flow, peers, localRuns } = setUp();
-  assert.equal(await flow.carry(document, makeBooking("a2-x")), answered);
+  const { forwarder, peers, localRuns } = createTestForwarder();
+  assert.equal(
+    await forwarder.handle(document, makeAtMostOnceRequest("a2-x")),
+    answered,
+  );
   assert.is(peers.handovers[0].mode, "own");
   assert.is(localRuns(), 0);
 });
 
-const goneOwners: [string, SetUp, Behaviour, number][] = [
+const unreachableOwners: [string, TestOptions, HandoverStub, number][] = [
   [
     "is dead",
     { alive: ["a1-x"], dead: ["a2-x"] },
@@ -297,27 +315,27 @@
   ["is cut off", {}, () => ({ kind: "failed", reason: "" }), 1],
 ];
 
-for (const [name, options, behaviour, incarnation] of goneOwners) {
+for (const [name, options, respond, incarnation] of unreachableOwners) {
   test(`a key whose owner ${name} is unknown, never run`, async () => {
-    const { flow, peers, localRuns } = setUp(options);
-    peers.behaviour = behaviour;
-    const request = makeBooking("a2-x", incarnation);
-    assert.is((await flow.carry(document, request)).kind, "unknown");
+    const { forwarder, peers, localRuns } = createTestForwarder(options);
+    peers.respond = respond;
+    const request = makeAtMostOnceRequest("a2-x", incarnation);
+    assert.is((await forwarder.handle(document, request)).kind, "unknown");
     assert.is(localRuns(), 0);
   });
 }
 
 test("a caller is told at its deadline; the late answer is kept", async () => {
   let finish: (outcome: Outcome) => void = () => {};
-  const { flow, clock } = setUp({
+  const { forwarder, clock } = createTestForwarder({
     local: () => new Promise((resolve) => finish = resolve),
   });
-  const first = flow.carry(document, makeBooking("a1-x"));
+  const first = forwarder.handle(document, makeAtMostOnceRequest("a1-x"));
   clock.advance(1_000);
   assert.is((await first).kind, "unknown");
   finish(answered);
-  const again = { ...makeBooking("a1-x"), deadlineMs: 5_000 };
-  assert.equal(await flow.carry(document, again), answered);
+  const again = { ...makeAtMostOnceRequest("a1-x"), deadlineMs: 5_000 };
+  assert.equal(await forwarder.handle(document, again), answered);
 });
 
 test.run();
--- a/src/forwarding/retry.ts
+++ b/src/forwarding/retry.ts
@@ -12,9 +12,9 @@
 /** Exchanges that one request may take. */
 export const MAX_ATTEMPTS = 3;
 /** Retries allowed for each request. */
-const BUDGET_SHARE = 0.1;
+const RETRY_SHARE = 0.1;
 /** Retries that may be saved up. */
-const MAX_SAVED = 50;
+const MAX_SAVED_RETRIES = 50;
 
 /** What to do after an exchange. */
 export type RetryDecision = "retry" | "not_run" | "unknown";
@@ -37,32 +37,35 @@
  */
 export function decideRetry(input: RetryInput): RetryDecision {
   const provenNotRun = input.result.kind !== "failed";
-  const mayRetry = provenNotRun || input.idempotent;
+  const isSafeToRetry = provenNotRun || input.idempotent;
   const canRetry = input.attempts < MAX_ATTEMPTS && input.hasBudget &&
     input.hasTime;
-  if (mayRetry && canRetry) return "retry";
+  if (isSafeToRetry && canRetry) return "retry";
   return provenNotRun && !input.mayHaveRun ? "not_run" : "unknown";
 }
 
 /** Retries as a share of requests. */
 export interface RetryBudget {
   /** Counts a request. */
-  noteRequest(): void;
+  recordRequest(): void;
   hasBudget(): boolean;
   /** Counts a retry. */
-  spend(): void;
+  recordRetry(): void;
 }
 
 /** @returns A full budget. */
 export function createRetryBudget(): RetryBudget {
-  let saved = MAX_SAVED;
+  let availableRetries = MAX_SAVED_RETRIES;
   return {
-    noteRequest() {
-      saved = Math.min(MAX_SAVED, saved + BUDGET_SHARE);
+    recordRequest() {
+      availableRetries = Math.min(
+        MAX_SAVED_RETRIES,
+        availableRetries + RETRY_SHARE,
+      );
     },
-    hasBudget: () => saved >= 1,
-    spend() {
-      saved -= 1;
+    hasBudget: () => availableRetries >= 1,
+    recordRetry() {
+      availableRetries -= 1;
     },
   };
 }
--- a/src/forwarding/retry_test.ts
+++ b/src/forwarding/retry_test.ts
@@ -37,12 +37,12 @@
 
 test("retries stay a tenth of the requests once the saved ones are spent", () => {
   const budget = createRetryBudget();
-  while (budget.hasBudget()) budget.spend();
+  while (budget.hasBudget()) budget.recordRetry();
   let retries = 0;
   for (let count = 0; count < 1_000; count++) {
-    budget.noteRequest();
+    budget.recordRequest();
     if (!budget.hasBudget()) continue;
-    budget.spend();
+    budget.recordRetry();
     retries += 1;
   }
   assert.ok(retries >= 98 && retries <= 101, `${retries}`);
--- a/src/forwarding/routes.ts
+++ b/src/forwarding/routes.ts
@@ -15,8 +15,8 @@
 import { getHeader, readBody, sendProblem } from "../runtime/http_server.ts";
 import { createId } from "../runtime/ids.ts";
 import { createLogger } from "../runtime/logger.ts";
-import type { EntryFigures } from "./figures.ts";
-import type { Flow } from "./flow.ts";
+import type { EntryStats } from "./entry_stats.ts";
+import type { RequestForwarder } from "./request_forwarder.ts";
 import { parseKey } from "./keys.ts";
 import { HANDOVER_PATH } from "./peer_client.ts";
 import { type ForwardRequest, HEADERS, type Outcome } from "./types.ts";
@@ -31,20 +31,20 @@
 /** What the routes need. */
 export interface ForwardingRouteOptions {
   agent: ControlAgent;
-  flow: Flow;
-  figures: EntryFigures;
+  forwarder: RequestForwarder;
+  stats: EntryStats;
   blocks: () => BlockTable;
   clock: Clock;
 }
 
 /** A request that can't be carried. */
-interface Refusal {
+interface RejectedRequest {
   status: number;
   detail: string;
 }
 
 /** A request that can. */
-interface Carried {
+interface ParsedRequest {
   document: ServiceDocument;
   request: ForwardRequest;
 }
@@ -59,7 +59,7 @@
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { flow, figures } = options;
+  const { forwarder: flow, stats: figures } = options;
   router.all("/v1/services/:service/*", async (request, response) => {
     const parsed = await parseCallerRequest(request, response, options);
     if ("status" in parsed) {
@@ -72,9 +72,11 @@
       });
     }
     const { document, request: forward } = parsed;
-    figures.noteArrival(forward.service, forward.callerRegion);
-    const outcome = await runSafely(() => flow.carry(document, forward));
-    figures.noteOutcome(forward, outcome);
+    figures.recordArrival(forward.service, forward.callerRegion);
+    const outcome = await toUnknownOnError(() =>
+      flow.handle(document, forward)
+    );
+    figures.recordOutcome(forward, outcome);
     sendOutcome(response, forward, outcome);
   });
 }
@@ -89,7 +91,7 @@
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { flow } = options;
+  const { forwarder: flow } = options;
   router.post(HANDOVER_PATH, async (request, response) => {
     const parsed = await parseHandover(request, response, options);
     if ("status" in parsed) {
@@ -102,15 +104,17 @@
     }
     const { document, request: forward } = parsed;
     const isOwner = getHeader(request, HEADERS.mode) === "own";
-    const outcome = await runSafely(() =>
-      isOwner ? flow.carry(document, forward) : flow.runHere(document, forward)
+    const outcome = await toUnknownOnError(() =>
+      isOwner
+        ? flow.handle(document, forward)
+        : flow.runLocally(document, forward)
     );
     sendOutcome(response, forward, outcome);
   });
 }
 
 /** A fault of ours leaves open whether the request ran. */
-async function runSafely(run: () => Promise<Outcome>): Promise<Outcome> {
+async function toUnknownOnError(run: () => Promise<Outcome>): Promise<Outcome> {
   try {
     return await run();
   } catch (cause) {
@@ -123,17 +127,17 @@
   request: Request,
   response: ServerResponse,
   options: ForwardingRouteOptions,
-): Promise<Carried | Refusal> {
+): Promise<ParsedRequest | RejectedRequest> {
   const match = SERVICE_ROUTE.exec(request.originalUrl ?? request.url ?? "");
   if (match === null) return { status: 404, detail: "Not a service's address" };
   const [, service, path = "/", query = ""] = match;
-  const fromHeader = getHeader(request, HEADERS.requestId);
-  const id = fromHeader ?? createId();
+  const statedId = getHeader(request, HEADERS.requestId);
+  const id = statedId ?? createId();
   if (!REQUEST_ID_PATTERN.test(id)) {
     return { status: 400, detail: `${HEADERS.requestId} is malformed` };
   }
-  const client = findClient(request, options);
-  return await parseCommon(request, response, {
+  const client = identifyClient(request, options);
+  return await parseFields(request, response, {
     options,
     service,
     id,
@@ -148,9 +152,9 @@
   request: Request,
   response: ServerResponse,
   options: ForwardingRouteOptions,
-): Promise<Carried | Refusal> {
+): Promise<ParsedRequest | RejectedRequest> {
   const header = (name: string) => getHeader(request, name) ?? "";
-  return await parseCommon(request, response, {
+  return await parseFields(request, response, {
     options,
     service: header(HEADERS.service),
     id: header(HEADERS.requestId),
@@ -162,7 +166,7 @@
   });
 }
 
-interface CommonParts {
+interface RequestFields {
   options: ForwardingRouteOptions;
   service: string;
   id: string;
@@ -173,12 +177,12 @@
   callerRegion: string;
 }
 
-async function parseCommon(
+async function parseFields(
   request: Request,
   response: ServerResponse,
-  parts: CommonParts,
-): Promise<Carried | Refusal> {
-  const { options, service, method, path } = parts;
+  fields: RequestFields,
+): Promise<ParsedRequest | RejectedRequest> {
+  const { options, service, method, path } = fields;
   const document = options.agent.config().services.get(service)?.document;
   if (document === undefined) {
     return { status: 404, detail: `No service is named "${service}"` };
@@ -216,7 +220,7 @@
   return {
     document,
     request: {
-      id: parts.id,
+      id: fields.id,
       service,
       requestClass,
       method,
@@ -225,15 +229,15 @@
       body,
       deadlineMs,
       key: requestClass.idempotent ? undefined : key,
-      block: parts.block,
-      callerRegion: parts.callerRegion,
-      hops: parts.hops,
-      signal: signalHangUp(response),
+      block: fields.block,
+      callerRegion: fields.callerRegion,
+      hops: fields.hops,
+      signal: createDisconnectSignal(response),
     },
   };
 }
 
-function signalHangUp(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
@@ -268,16 +272,17 @@
  * The block that the look-up named, else the block of the connection; a client
  * of no known block belongs to this entry's region.
  */
-function findClient(
+function identifyClient(
   request: Request,
   { blocks, agent }: ForwardingRouteOptions,
 ) {
-  const named = getHeader(request, HEADERS.clientBlock)?.split("/")[0];
-  const remote = request.socket.remoteAddress?.replace(/^::ffff:/, "");
-  const address = parseIpv4(named ?? "") ?? parseIpv4(remote ?? "");
+  const statedAddress = getHeader(request, HEADERS.clientBlock)?.split("/")[0];
+  const remoteAddress = request.socket.remoteAddress?.replace(/^::ffff:/, "");
+  const address = parseIpv4(statedAddress ?? "") ??
+    parseIpv4(remoteAddress ?? "");
   const found = address === undefined ? undefined : blocks().find(address);
   return {
-    block: found?.block ?? remote ?? "",
+    block: found?.block ?? remoteAddress ?? "",
     callerRegion: found?.region ?? agent.self.region,
   };
 }
--- a/src/forwarding/server_judgement.ts
+++ b/src/forwarding/server_limits.ts
@@ -8,14 +8,14 @@
   PROBE_EXPIRY_MS,
   type ServerSet,
   type ServerState,
-} from "./servers.ts";
+} from "./server_set.ts";
 
 /** Ejections are ignored where fewer than this share would be left. */
-const EJECTION_FLOOR_SHARE = 0.5;
+const MIN_HEALTHY_SHARE = 0.5;
 /** Observed latency loses half its say after this time without a new one. */
 const LATENCY_HALF_LIFE_MS = 4_000;
 /** A server slower than this many medians gets fewer slots. */
-const SLOW_FACTOR = 3;
+const SLOW_LATENCY_FACTOR = 3;
 
 /**
  * Lists servers that may get new work. Ejected ones are included again where
@@ -25,18 +25,22 @@
  * @param nowMs Monotonic time, in ms.
  * @returns The servers, full ones included.
  */
-export function listEligible(set: ServerSet, nowMs: number): ServerState[] {
-  const staying = [...set.servers.values()].filter((state) =>
+export function listEligibleServers(
+  set: ServerSet,
+  nowMs: number,
+): ServerState[] {
+  const available = [...set.servers.values()].filter((state) =>
     state.leaving === undefined && state.share > 0 &&
     nowMs >= state.backoffUntilMs
   );
-  const sound = staying.filter((state) => isSound(state, nowMs));
-  const enough = sound.length >= staying.length * EJECTION_FLOOR_SHARE;
-  return enough ? sound : staying;
+  const healthy = available.filter((state) => isHealthy(state, nowMs));
+  const hasEnoughHealthy =
+    healthy.length >= available.length * MIN_HEALTHY_SHARE;
+  return hasEnoughHealthy ? healthy : available;
 }
 
 /** Behaviour goes before reports: a success after the probe outweighs it. */
-function isSound(state: ServerState, nowMs: number): boolean {
+function isHealthy(state: ServerState, nowMs: number): boolean {
   if (nowMs < state.ejectedUntilMs) return false;
   const reportedFailing = state.health === "failing" &&
     nowMs - state.healthAtMs < PROBE_EXPIRY_MS;
@@ -52,7 +56,7 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Latency to expect, in ms.
  */
-export function judgeLatency(
+export function estimateLatencyMs(
   state: ServerState,
   medianMs: number,
   nowMs: number,
@@ -60,8 +64,8 @@
   const observedMs = state.latency.value();
   if (observedMs === 0) return medianMs;
   const ageMs = nowMs - state.latencyAtMs;
-  const say = 0.5 ** (ageMs / LATENCY_HALF_LIFE_MS);
-  return medianMs + (observedMs - medianMs) * say;
+  const weight = 0.5 ** (ageMs / LATENCY_HALF_LIFE_MS);
+  return medianMs + (observedMs - medianMs) * weight;
 }
 
 /**
@@ -69,14 +73,14 @@
  * @param fallbackMs Value where nothing was observed.
  * @returns Median of their observed latencies, in ms.
  */
-export function getMedianLatency(
+export function getMedianLatencyMs(
   states: readonly ServerState[],
   fallbackMs: number,
 ): number {
-  const seen = states.map((state) => state.latency.value())
+  const latenciesMs = states.map((state) => state.latency.value())
     .filter((latencyMs) => latencyMs > 0)
     .sort((a, b) => a - b);
-  return seen[Math.floor(seen.length / 2)] ?? fallbackMs;
+  return latenciesMs[Math.floor(latenciesMs.length / 2)] ?? fallbackMs;
 }
 
 /** Circumstances of a limit. */
@@ -91,22 +95,25 @@
  * @param context See there.
  * @returns Requests that it may have in flight from this entry.
  */
-export function getLimit(
+export function getConcurrencyLimit(
   set: ServerSet,
   state: ServerState,
   { medianMs, nowMs }: LimitContext,
 ): number {
   const { rampS, initialShare } = set.document.coldStart;
-  let part = 1;
+  let fraction = 1;
   if (state.coldSinceMs !== undefined && rampS > 0) {
-    const warmed = (nowMs - state.coldSinceMs) / (rampS * 1_000);
-    part = Math.min(1, initialShare + (1 - initialShare) * Math.max(0, warmed));
+    const rampShare = (nowMs - state.coldSinceMs) / (rampS * 1_000);
+    fraction = Math.min(
+      1,
+      initialShare + (1 - initialShare) * Math.max(0, rampShare),
+    );
   }
-  const latencyMs = judgeLatency(state, medianMs, nowMs);
-  if (medianMs > 0 && latencyMs > SLOW_FACTOR * medianMs) {
-    part *= SLOW_FACTOR * medianMs / latencyMs;
+  const latencyMs = estimateLatencyMs(state, medianMs, nowMs);
+  if (medianMs > 0 && latencyMs > SLOW_LATENCY_FACTOR * medianMs) {
+    fraction *= SLOW_LATENCY_FACTOR * medianMs / latencyMs;
   }
-  return Math.min(state.share, Math.max(1, Math.round(state.share * part)));
+  return Math.min(state.share, Math.max(1, Math.round(state.share * fraction)));
 }
 
 /**
@@ -114,11 +121,14 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Requests that this entry may have in flight in all.
  */
-export function getTotalLimit(set: ServerSet, nowMs: number): number {
-  const eligible = listEligible(set, nowMs);
-  const medianMs = getMedianLatency(eligible, set.document.expectedServiceMs);
+export function getTotalConcurrencyLimit(
+  set: ServerSet,
+  nowMs: number,
+): number {
+  const eligible = listEligibleServers(set, nowMs);
+  const medianMs = getMedianLatencyMs(eligible, set.document.expectedServiceMs);
   return eligible.reduce(
-    (sum, state) => sum + getLimit(set, state, { medianMs, nowMs }),
+    (sum, state) => sum + getConcurrencyLimit(set, state, { medianMs, nowMs }),
     0,
   );
 }
--- a/src/forwarding/servers.ts
+++ b/src/forwarding/server_set.ts
@@ -9,15 +9,15 @@
 import { createMovingMean, type MovingMean } from "../measurement/rate.ts";
 
 /** Failures in a row after which a server gets no work for a while. */
-const EJECT_AFTER_FAILURES = 3;
-const FIRST_EJECTION_MS = 1_000;
+const MAX_CONSECUTIVE_FAILURES = 3;
+const INITIAL_EJECTION_MS = 1_000;
 const MAX_EJECTION_MS = 30_000;
-const LATENCY_WEIGHT = 0.2;
+const LATENCY_SMOOTHING_FACTOR = 0.2;
 /** Age at which a probe no longer says anything. */
 export const PROBE_EXPIRY_MS = 5_000;
 
 /** Time for a document to be in force everywhere, and for requests to end. */
-export const GROWTH_DELAY_MS = 15_000;
+export const SHARE_INCREASE_DELAY_MS = 15_000;
 
 /** Why a server takes no new work. */
 export type LeavingReason = "document" | "vm_list" | "health" | "answer";
@@ -28,12 +28,12 @@
   /** This entry's share of its slots. */
   share: number;
   /** A larger share by the documents, and when it may be used. */
-  growth: { share: number; fromMs: number } | undefined;
+  pendingShare: { share: number; fromMs: number } | undefined;
   inFlight: number;
   latency: MovingMean;
   latencyAtMs: number;
   failures: number;
-  ejections: number;
+  consecutiveEjections: number;
   ejectedUntilMs: number;
   /** It asked for rest until then. */
   backoffUntilMs: number;
@@ -54,11 +54,11 @@
   document: ServiceDocument;
   servers: Map<string, ServerState>;
   /** Whether servers were synchronised before: later ones are cold. */
-  started: boolean;
+  hasSynced: boolean;
 }
 
 /** Which part of each server's slots belongs to an entry. */
-export interface EntryShare {
+export interface EntryPosition {
   /** Position of the entry among its failure domain's, from 0. */
   index: number;
   count: number;
@@ -76,22 +76,22 @@
 export function getSlotShare(
   slots: number,
   serverIndex: number,
-  { index, count }: EntryShare,
+  { index, count }: EntryPosition,
 ): number {
   return Math.floor((slots + (index + serverIndex) % count) / count);
 }
 
 /** @returns A set that knows no server yet. */
 export function createServerSet(document: ServiceDocument): ServerSet {
-  return { document, servers: new Map(), started: false };
+  return { document, servers: new Map(), hasSynced: false };
 }
 
 /** Circumstances of a synchronisation. */
 export interface SyncContext {
   failureDomain: string;
-  entry: EntryShare;
+  entry: EntryPosition;
   /** Why a server must leave, if it must. */
-  leavingReason(server: BackendServer): LeavingReason | undefined;
+  getLeavingReason(server: BackendServer): LeavingReason | undefined;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
@@ -109,26 +109,26 @@
   context: SyncContext,
 ): void {
   set.document = document;
-  const own = document.backendServers.filter((server) =>
+  const domainServers = document.backendServers.filter((server) =>
     server.failureDomain === context.failureDomain
   );
-  const ids = new Set(own.map(({ id }) => id));
+  const ids = new Set(domainServers.map(({ id }) => id));
   for (const [id, state] of set.servers) {
     if (ids.has(id)) continue;
     markLeaving(state, "document", context.nowMs);
     if (state.inFlight === 0) set.servers.delete(id);
   }
-  own.forEach((server, index) => {
+  domainServers.forEach((server, index) => {
     const share = getSlotShare(server.slots, index, context.entry);
-    const coldSinceMs = set.started ? context.nowMs : undefined;
+    const coldSinceMs = set.hasSynced ? context.nowMs : undefined;
     const state = set.servers.get(server.id) ??
       createServerState(server, { share, coldSinceMs });
     state.server = server;
     updateShare(state, share, context.nowMs);
     set.servers.set(server.id, state);
-    updateLeaving(state, context.leavingReason(server), context.nowMs);
+    updateLeaving(state, context.getLeavingReason(server), context.nowMs);
   });
-  set.started = true;
+  set.hasSynced = true;
 }
 
 /**
@@ -138,15 +138,15 @@
 function updateShare(state: ServerState, share: number, nowMs: number): void {
   if (share <= state.share) {
     state.share = share;
-    state.growth = undefined;
+    state.pendingShare = undefined;
     return;
   }
-  if (state.growth?.share !== share) {
-    state.growth = { share, fromMs: nowMs + GROWTH_DELAY_MS };
+  if (state.pendingShare?.share !== share) {
+    state.pendingShare = { share, fromMs: nowMs + SHARE_INCREASE_DELAY_MS };
   }
-  if (nowMs < state.growth.fromMs) return;
+  if (nowMs < state.pendingShare.fromMs) return;
   state.share = share;
-  state.growth = undefined;
+  state.pendingShare = undefined;
 }
 
 function createServerState(
@@ -156,12 +156,12 @@
   return {
     server,
     share,
-    growth: undefined,
+    pendingShare: undefined,
     inFlight: 0,
-    latency: createMovingMean(LATENCY_WEIGHT),
+    latency: createMovingMean(LATENCY_SMOOTHING_FACTOR),
     latencyAtMs: 0,
     failures: 0,
-    ejections: 0,
+    consecutiveEjections: 0,
     ejectedUntilMs: 0,
     backoffUntilMs: 0,
     coldSinceMs,
@@ -180,12 +180,13 @@
   reason: LeavingReason | undefined,
   nowMs: number,
 ): void {
-  const told = reason ?? (state.health === "draining" ? "health" : undefined);
-  if (told !== undefined) return markLeaving(state, told, nowMs);
+  const cause = reason ??
+    (state.health === "draining" ? "health" : undefined);
+  if (cause !== undefined) return markLeaving(state, cause, nowMs);
   if (state.leaving === undefined) return;
-  const saidLately = state.leaving === "answer" &&
+  const isRecentSignal = state.leaving === "answer" &&
     nowMs - state.leavingSinceMs < PROBE_EXPIRY_MS;
-  if (saidLately) return;
+  if (isRecentSignal) return;
   state.leaving = undefined;
   state.drainMs = undefined;
   state.coldSinceMs = nowMs;
@@ -233,7 +234,7 @@
  * @param report The probe.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteHealth(
+export function recordHealth(
   set: ServerSet,
   report: HealthReport,
   nowMs: number,
@@ -260,7 +261,7 @@
 }
 
 /** How an exchange went, for judging the server. */
-export interface ExchangeReport {
+export interface ExchangeSummary {
   ok: boolean;
   durationMs: number;
   /** Monotonic time, in ms. */
@@ -275,7 +276,7 @@
  */
 export function endRequest(
   state: ServerState,
-  { ok, durationMs, nowMs }: ExchangeReport,
+  { ok, durationMs, nowMs }: ExchangeSummary,
 ): void {
   state.inFlight -= 1;
   if (state.leaving && state.inFlight === 0 && state.drainMs === undefined) {
@@ -283,17 +284,17 @@
   }
   if (ok) {
     state.failures = 0;
-    state.ejections = 0;
+    state.consecutiveEjections = 0;
     state.lastSuccessMs = nowMs;
     state.latency.add(durationMs);
     state.latencyAtMs = nowMs;
     return;
   }
   state.failures += 1;
-  if (state.failures < EJECT_AFTER_FAILURES) return;
-  const ejectionMs = FIRST_EJECTION_MS * 2 ** state.ejections;
+  if (state.failures < MAX_CONSECUTIVE_FAILURES) return;
+  const ejectionMs = INITIAL_EJECTION_MS * 2 ** state.consecutiveEjections;
   state.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
-  state.ejections += 1;
+  state.consecutiveEjections += 1;
   state.failures = 0;
   state.coldSinceMs = state.ejectedUntilMs;
 }
--- a/src/forwarding/servers_test.ts
+++ b/src/forwarding/server_set_test.ts
@@ -3,18 +3,22 @@
 import { test } from "uvu";
 import type { BackendServer, ServiceDocument } from "../config/schema.ts";
 import { serviceSchema } from "../config/schema.ts";
-import { getLimit, getTotalLimit, listEligible } from "./server_judgement.ts";
+import {
+  getConcurrencyLimit,
+  getTotalConcurrencyLimit,
+  listEligibleServers,
+} from "./server_limits.ts";
 import {
   beginRequest,
   createServerSet,
   endRequest,
   getSlotShare,
-  GROWTH_DELAY_MS,
   markLeaving,
-  noteHealth,
+  recordHealth,
   type ServerSet,
+  SHARE_INCREASE_DELAY_MS,
   syncServers,
-} from "./servers.ts";
+} from "./server_set.ts";
 
 const SEED = 20261202;
 
@@ -48,7 +52,7 @@
   syncServers(set, document, {
     failureDomain: "a-1",
     entry: { index: 0, count: 1 },
-    leavingReason: (server: BackendServer) =>
+    getLeavingReason: (server: BackendServer) =>
       leaving.includes(server.id) ? "document" : undefined,
     nowMs,
   });
@@ -86,7 +90,7 @@
     syncServers(set, document, {
       failureDomain: "a-1",
       entry: { index: 0, count },
-      leavingReason: () => undefined,
+      getLeavingReason: () => undefined,
       nowMs,
     });
     return set.servers.get("s-0")!.share;
@@ -94,8 +98,8 @@
   assert.is(shareAt(0, 2), 2);
   assert.is(shareAt(1_000, 4), 1);
   assert.is(shareAt(2_000, 1), 1);
-  assert.is(shareAt(2_000 + GROWTH_DELAY_MS - 1, 1), 1);
-  assert.is(shareAt(2_000 + GROWTH_DELAY_MS, 1), 4);
+  assert.is(shareAt(2_000 + SHARE_INCREASE_DELAY_MS - 1, 1), 1);
+  assert.is(shareAt(2_000 + SHARE_INCREASE_DELAY_MS, 1), 4);
 });
 
 test("a VM that the fleet does not list has no slots", () => {
@@ -109,9 +113,9 @@
     beginRequest(state);
     endRequest(state, { ok: false, durationMs: 5, nowMs: 100 });
   }
-  assert.is(listEligible(set, 101).length, 3);
-  assert.is(listEligible(set, 1_101).length, 4);
-  const limit = getLimit(set, state, { medianMs: 50, nowMs: 1_101 });
+  assert.is(listEligibleServers(set, 101).length, 3);
+  assert.is(listEligibleServers(set, 1_101).length, 4);
+  const limit = getConcurrencyLimit(set, state, { medianMs: 50, nowMs: 1_101 });
   assert.is(limit, 1);
 });
 
@@ -123,18 +127,18 @@
       endRequest(state, { ok: false, durationMs: 5, nowMs: 100 });
     }
   }
-  assert.is(listEligible(set, 101).length, 4);
+  assert.is(listEligibleServers(set, 101).length, 4);
 });
 
 test("a report of failure counts until behaviour contradicts it", () => {
   const set = makeSet(4);
   const report = { serverId: "s-0", reportedUse: 0, ageMs: 0 };
-  noteHealth(set, { ...report, state: "failing" }, 100);
-  assert.is(listEligible(set, 101).length, 3);
+  recordHealth(set, { ...report, state: "failing" }, 100);
+  assert.is(listEligibleServers(set, 101).length, 3);
   const state = set.servers.get("s-0")!;
   beginRequest(state);
   endRequest(state, { ok: true, durationMs: 5, nowMs: 150 });
-  assert.is(listEligible(set, 151).length, 4);
+  assert.is(listEligibleServers(set, 151).length, 4);
 });
 
 test("a slow server gets fewer slots, and more again as its record ages", () => {
@@ -147,16 +151,16 @@
     }
   }
   const slow = set.servers.get("s-0")!;
-  assert.is(getLimit(set, slow, { medianMs: 50, nowMs: 100 }), 1);
-  assert.is(getLimit(set, slow, { medianMs: 50, nowMs: 20_000 }), 4);
+  assert.is(getConcurrencyLimit(set, slow, { medianMs: 50, nowMs: 100 }), 1);
+  assert.is(getConcurrencyLimit(set, slow, { medianMs: 50, nowMs: 20_000 }), 4);
 });
 
-const leavings: [string, (set: ServerSet) => void][] = [
+const leaveCases: [string, (set: ServerSet) => void][] = [
   ["the document", (set) => sync(set, makeDocument(4), 100, ["s-0"])],
   [
     "its health answer",
     (set) =>
-      noteHealth(set, {
+      recordHealth(set, {
         serverId: "s-0",
         state: "draining",
         reportedUse: 0,
@@ -174,15 +178,17 @@
   }],
 ];
 
-for (const [name, leave] of leavings) {
+for (const [name, leave] of leaveCases) {
   test(`a server leaves by ${name}: no new work, what runs is kept`, () => {
     const set = makeSet(4);
     const state = set.servers.get("s-0")!;
     beginRequest(state);
     leave(set);
-    const eligible = listEligible(set, 101).map(({ server }) => server.id);
+    const eligible = listEligibleServers(set, 101).map(({ server }) =>
+      server.id
+    );
     assert.equal(eligible, ["s-1", "s-2", "s-3"]);
-    assert.is(getTotalLimit(set, 101), 12);
+    assert.is(getTotalConcurrencyLimit(set, 101), 12);
     assert.is(state.drainMs, undefined);
     endRequest(state, { ok: true, durationMs: 50, nowMs: 350 });
     assert.is(state.drainMs, 250);
@@ -193,7 +199,8 @@
   const set = makeSet(2);
   sync(set, makeDocument(3), 1_000);
   const joined = set.servers.get("s-2")!;
-  const at = (nowMs: number) => getLimit(set, joined, { medianMs: 50, nowMs });
+  const at = (nowMs: number) =>
+    getConcurrencyLimit(set, joined, { medianMs: 50, nowMs });
   assert.is(at(1_000), 1);
   assert.is(at(6_000), 2);
   assert.is(at(11_000), 4);
--- a/src/steering/estimate.ts
+++ b/src/steering/estimate.ts
@@ -10,7 +10,7 @@
   RegionName,
   ServiceDocument,
 } from "../config/schema.ts";
-import { isDomainDrained, isServerDrained } from "../draining/logic.ts";
+import { isDomainDrained, isServerDrained } from "../draining/drain_status.ts";
 import { LOAD_REFRESH_MS, type LoadState } from "../measurement/state.ts";
 import type { ServiceLoad } from "../measurement/types.ts";
 import type { AssignInput, CallerDemand, Place, RegionOf } from "./types.ts";
