--- a/src/admission/admission_control.ts
+++ b/src/admission/admission_control.ts
@@ -1,43 +1,46 @@
 /**
- * Decides at arrival whether a request can still be answered in time. Pure.
+ * Admission control: decides at arrival whether a request can be answered before
+ * its deadline. Pure.
  *
  * @module
  */
 
-/** Safety factor on the expected wait. */
+/** Safety factor for the expected wait. */
 const WAIT_SAFETY_FACTOR = 1.2;
-/** A request must have this many mean service times left to be started. */
+/** Number of mean service times that must remain when a request starts. */
 const MIN_SERVICE_TIMES = 1.5;
 
-/** What the decision is made from. */
+/** Input of an admission decision. */
 export interface AdmissionInput {
   /** Time left until the deadline, in ms. */
   remainingMs: number;
-  /** Mean time of a request at a backend server, in ms. */
+  /** Mean service time of a request at a backend server, in ms. */
   serviceMs: number;
-  /** Requests that may be in flight at once. */
+  /** Maximum number of requests in flight. */
   limit: number;
+  /** Number of requests in flight. */
   inFlight: number;
-  /** Requests of the same class that wait. */
+  /** Number of waiting requests of the same class. */
   waitingInClass: number;
-  /** Share of the turns that the class gets, 0 to 1. */
+  /** Share of turns that the class gets, 0 to 1. */
   classShare: number;
 }
 
-/** Whether to let a request wait. */
+/** Whether a request is admitted. */
 export type AdmissionDecision =
+  /** It is queued; `waitMs` is its expected wait. */
   | { decision: "admit"; waitMs: number }
-  /** It can't finish in time; `waitMs` is when it could have started. */
+  /** It cannot finish in time; `waitMs` is the time until it could start. */
   | { decision: "refuse"; reason: string; waitMs: number };
 
 /**
- * @param input See there.
- * @returns The decision.
+ * @param input Remaining time, service time and queue length.
+ * @returns Whether the request is admitted, with its expected wait in ms.
  */
 export function decideAdmission(input: AdmissionInput): AdmissionDecision {
   const { remainingMs, serviceMs, limit, inFlight } = input;
   if (limit <= 0) {
-    const reason = "No backend server takes new work here";
+    const reason = "No backend server accepts new requests here";
     return { decision: "refuse", reason, waitMs: serviceMs };
   }
   const waitMs = estimateWaitMs(input);
@@ -46,22 +49,24 @@
   if (neededMs <= remainingMs || canStartNow && serviceMs < remainingMs) {
     return { decision: "admit", waitMs };
   }
-  const reason = "It can't be answered before its deadline";
+  const reason = "The request cannot be answered before its deadline";
   return { decision: "refuse", reason, waitMs };
 }
 
-/** Time until a free slot comes to the class's last in line, in ms. */
+/** Estimates the time until a new request of the class gets a slot, in ms. */
 function estimateWaitMs(input: AdmissionInput): number {
-  const { serviceMs, limit, inFlight, waitingInClass, classShare: turnShare } =
-    input;
+  const { serviceMs, limit, inFlight, waitingInClass, classShare } = input;
   if (inFlight < limit && waitingInClass === 0) return 0;
-  return (waitingInClass + 1) * serviceMs / (limit * turnShare);
+  return (waitingInClass + 1) * serviceMs / (limit * classShare);
 }
 
 /**
+ * Computes the time for a `Retry-After` header, with jitter so that refused
+ * callers do not retry at the same time.
+ *
  * @param waitMs Expected wait, in ms.
- * @param random A number in [0, 1), so that callers do not return together.
- * @returns When to come back, in whole seconds, at least 1.
+ * @param random Random number in [0, 1).
+ * @returns Time to retry after, in whole seconds, at least 1.
  */
 export function computeRetryAfterS(waitMs: number, random: number): number {
   const baseS = Math.max(1, waitMs / 1_000);
--- a/src/admission/fair_queue.ts
+++ b/src/admission/fair_queue.ts
@@ -1,9 +1,10 @@
 /**
- * The waiting line of `p-queue`: heavier classes go first, none starves.
+ * Weighted fair queue for `p-queue`: classes with a higher weight are served more
+ * often, and none starves.
  *
  * Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996): each class has
- * a virtual time that grows slower the heavier it is; the class with the lowest
- * goes next.
+ * a virtual time that advances more slowly the higher its weight is; the class
+ * with the lowest virtual time is served next.
  *
  * @module
  */
@@ -17,31 +18,31 @@
 }
 
 interface ClassQueue {
-  /** Weight of the class; p-queue calls it the priority. */
+  /** Weight of the class; passed to p-queue as the priority. */
   weight: number;
   virtualTime: number;
   waiting: QueuedTask[];
 }
 
-/** Exponent on weights: a decision of weight 2 gets 8 turns to a look-up's 1. */
+/** Exponent of weights: a class of weight 2 gets 8 turns per turn of weight 1. */
 const WEIGHT_EXPONENT = 3;
 
-/** A queue class for p-queue; `priority` is a class's weight, above 0. */
+/** Queue class for p-queue; `priority` is the weight of a class, above 0. */
 export class FairQueue implements Queue<Run, QueueAddOptions> {
   readonly #classQueues = new Map<number, ClassQueue>();
   #virtualTime = 0;
   #size = 0;
 
-  /** Requests waiting. */
+  /** Number of waiting tasks. */
   get size(): number {
     return this.#size;
   }
 
   /**
-   * Puts a task at the end of its class's line.
+   * Adds a task at the end of its class's queue.
    *
    * @param run The task.
-   * @param options Its class's weight and its id.
+   * @param options Weight of its class, 1 if omitted, and the id of the task.
    */
   enqueue(run: Run, options?: Partial<QueueAddOptions>): void {
     const weight = options?.priority ?? 1;
@@ -58,7 +59,7 @@
     this.#size += 1;
   }
 
-  /** @returns The next task, if any. */
+  /** @returns The next task, which is removed from the queue, if any. */
   dequeue(): Run | undefined {
     let next: ClassQueue | undefined;
     for (const classQueue of this.#classQueues.values()) {
@@ -76,8 +77,8 @@
   }
 
   /**
-   * @param options The weight wanted.
-   * @returns Tasks of that class.
+   * @param options Weight of a class.
+   * @returns Waiting tasks of the class.
    */
   filter(options: Partial<QueueAddOptions>): Run[] {
     const classQueue = this.#classQueues.get(options.priority ?? 1);
@@ -85,9 +86,9 @@
   }
 
   /**
-   * Takes a task out.
+   * Removes a task without running it.
    *
-   * @param idOrRun Its id or the task itself.
+   * @param idOrRun Id of the task, or the task itself.
    */
   remove(idOrRun: string | Run): void {
     for (const classQueue of this.#classQueues.values()) {
@@ -102,9 +103,9 @@
   }
 
   /**
-   * Moves a task to another class.
+   * Moves a task to the end of another class's queue.
    *
-   * @param id Its id.
+   * @param id Id of the task.
    * @param priority Weight of the other class.
    */
   setPriority(id: string, priority: number): void {
@@ -117,9 +118,9 @@
   }
 
   /**
-   * @param weight A class's weight.
-   * @returns Share of the turns that the class gets among those waiting, itself
-   * included.
+   * @param weight Weight of a class.
+   * @returns Share of turns, 0 to 1, that the class gets among the classes with
+   *   waiting tasks and itself.
    */
   getClassShare(weight: number): number {
     const ownTurns = weight ** WEIGHT_EXPONENT;
@@ -132,21 +133,21 @@
   }
 
   /**
-   * @param weight A class's weight.
-   * @returns Requests of the class that wait.
+   * @param weight Weight of a class.
+   * @returns Number of waiting tasks of the class.
    */
   countWaiting(weight: number): number {
     return this.#classQueues.get(weight)?.waiting.length ?? 0;
   }
 }
 
-/** A p-queue and its waiting line. */
+/** A p-queue and the fair queue that holds its waiting tasks. */
 export interface FairTaskQueue {
   queue: PQueue<FairQueue>;
   waiting: FairQueue;
 }
 
-/** @returns A p-queue whose waiting line can be looked into. */
+/** @returns A p-queue with concurrency 1, and its fair queue. */
 export function createFairQueue(): FairTaskQueue {
   const instances: FairQueue[] = [];
   class CapturedFairQueue extends FairQueue {
@@ -159,7 +160,7 @@
   return { queue, waiting: instances[0] };
 }
 
-/** The heavier of two equals goes first. */
+/** Orders by virtual time, then by descending weight. */
 function isBefore(a: ClassQueue, b: ClassQueue): boolean {
   if (a.virtualTime !== b.virtualTime) return a.virtualTime < b.virtualTime;
   return a.weight > b.weight;
--- a/src/admission/fair_queue_test.ts
+++ b/src/admission/fair_queue_test.ts
@@ -10,7 +10,7 @@
   }
 }
 
-test("heavier classes go first, and none starves", async () => {
+test("classes share turns by weight, and none starves", async () => {
   const queue = new FairQueue();
   enqueueTasks(queue, 1, 90);
   enqueueTasks(queue, 2, 90);
@@ -23,7 +23,7 @@
   assert.equal(served, { 1: 10, 2: 80 });
 });
 
-test("a class that comes late does not catch up for its absence", async () => {
+test("a class that was idle gets no extra turns afterwards", async () => {
   const queue = new FairQueue();
   enqueueTasks(queue, 1, 100);
   for (let count = 0; count < 50; count++) queue.dequeue();
@@ -31,10 +31,10 @@
   const order: unknown[] = [];
   for (let count = 0; count < 18; count++) order.push(await queue.dequeue()!());
   const light = order.filter((weight) => weight === 1).length;
-  assert.ok(light >= 1 && light <= 2, `${light} light ones of 18`);
+  assert.ok(light >= 1 && light <= 2, `${light} tasks of weight 1 in 18`);
 });
 
-test("a request that is given up leaves the line", async () => {
+test("an aborted task is removed from the queue", async () => {
   const { queue, waiting } = createFairQueue();
   let release = () => {};
   const first = queue.add(() => new Promise<void>((done) => release = done));
@@ -45,7 +45,7 @@
     ran = true;
   }, { signal: controller.signal, id: "second", priority: 1 });
   assert.is(waiting.size, 1);
-  controller.abort(new Error("given up"));
+  controller.abort(new Error("aborted"));
   assert.is(waiting.size, 0);
   await second.then(() => assert.unreachable(), () => {});
   release();
@@ -63,10 +63,10 @@
 };
 const admissionCases: [string, Partial<typeof idleInput>, string][] = [
   ["a free slot", {}, "admit"],
-  ["a short line", { inFlight: 10, waitingInClass: 20 }, "admit"],
-  ["a line too long", { inFlight: 10, waitingInClass: 90 }, "refuse"],
+  ["a short queue", { inFlight: 10, waitingInClass: 20 }, "admit"],
+  ["a queue that is too long", { inFlight: 10, waitingInClass: 90 }, "refuse"],
   [
-    "a line too long for a light class",
+    "a queue that is too long for a class of low weight",
     { inFlight: 10, waitingInClass: 20, classShare: 0.1 },
     "refuse",
   ],
@@ -82,7 +82,7 @@
   });
 }
 
-test("callers that are refused together are told different times", () => {
+test("callers refused at the same time get different times to retry after", () => {
   const times = [0, 0.3, 0.6, 0.9].map((random) =>
     computeRetryAfterS(8_000, random)
   );
--- a/src/draining/drain_status.ts
+++ b/src/draining/drain_status.ts
@@ -1,5 +1,6 @@
 /**
- * Decides what is being drained, from a service's document. Pure.
+ * Decides from a service's document which failure domains and backend servers are
+ * being drained. Pure.
  *
  * @module
  */
@@ -11,9 +12,9 @@
 } from "../config/schema.ts";
 
 /**
- * @param drain A drain.
- * @param wallMs Wall-clock time, in ms since the epoch.
- * @returns Whether it is in force.
+ * @param drain A drain of a service's document.
+ * @param wallMs Wall-clock time, in ms since the Unix epoch.
+ * @returns Whether the drain is active; the end time is exclusive.
  */
 export function isActive(drain: Drain, wallMs: number): boolean {
   const startsAtMs = drain.startsAt ? Date.parse(drain.startsAt) : -Infinity;
@@ -21,18 +22,20 @@
   return startsAtMs <= wallMs && wallMs < endsAtMs;
 }
 
-/** A point in time and the regions of failure domains. */
+/** Input of a drain decision besides the document. */
 export interface DrainContext {
+  /** Wall-clock time, in ms since the Unix epoch. */
   wallMs: number;
+  /** Region of each failure domain. */
   regionOf: ReadonlyMap<DomainName, string>;
 }
 
 /**
- * @param document The service's document.
- * @param domain A failure domain.
+ * @param document Document of the service.
+ * @param domain Name of a failure domain.
  * @param context Time and regions.
- * @returns Whether the whole failure domain, or its region, is being drained
- * or excluded.
+ * @returns Whether the failure domain or its region is drained, excluded, or not
+ *   part of the service.
  */
 export function isDomainDrained(
   document: ServiceDocument,
@@ -50,10 +53,10 @@
 }
 
 /**
- * @param document The service's document.
- * @param server One of its backend servers.
+ * @param document Document of the service.
+ * @param server One of the service's backend servers.
  * @param context Time and regions.
- * @returns Whether the server itself is being drained by its own name.
+ * @returns Whether a drain names the server itself.
  */
 export function isServerDrained(
   document: ServiceDocument,
--- a/src/forwarding/backend_client.ts
+++ b/src/forwarding/backend_client.ts
@@ -1,11 +1,11 @@
 /**
- * Exchanges with backend servers.
+ * HTTP client for backend servers.
  *
- * A backend server says that it did not run a request by the header
- * `hawthorngw-outcome: not_run` or by a status that the service's document
- * lists in `shedStatuses`; `Retry-After` adds for how long it wants no more from
- * this entry, `hawthorngw-state: leaving`, with any answer, that it takes no more
- * work.
+ * A backend server reports that it did not run a request with the header
+ * `hawthorngw-outcome: not_run` or with a status that the service's document
+ * lists in `shedStatuses`. In such an answer, `Retry-After` gives the time for
+ * which this entry must send it no requests. With any answer,
+ * `hawthorngw-state: leaving` reports that the server accepts no more work.
  *
  * @module
  */
@@ -18,33 +18,44 @@
 import type { ExchangeResult, ForwardRequest } from "./types.ts";
 import { HEADERS } from "./types.ts";
 
-/** Largest answer that is passed on. */
+/** Maximum size of an answer body, in bytes; larger ones count as failed. */
 export const MAX_ANSWER_BYTES = 4_194_304;
 const CONNECT_TIMEOUT_MS = 500;
 const IDLE_CONNECTION_TIMEOUT_MS = 4_000;
 const PROBE_TIMEOUT_MS = 400;
 
-/** One exchange. */
+/** Parameters of one exchange. */
 export interface BackendExchange {
   document: ServiceDocument;
   server: BackendServer;
   request: ForwardRequest;
-  /** Time that the server has, in ms. */
+  /** Time left for the server to answer, in ms; sent as a header. */
   remainingMs: number;
+  /** Aborts the exchange. */
   signal: AbortSignal;
 }
 
-/** How backend servers are reached. */
+/** Client for backend servers. */
 export abstract class BackendClient {
-  /** Sends a request once; never throws. */
+  /**
+   * Sends a request once, without retries. Never rejects.
+   *
+   * @param exchange The request, its server and its time limit.
+   * @returns The answer, or how the exchange failed.
+   */
   abstract exchange(exchange: BackendExchange): Promise<ExchangeResult>;
-  /** Asks a server how it is; never throws. */
+  /**
+   * Requests `/health` from a server. Never rejects.
+   *
+   * @param server The server to probe.
+   * @returns The server's report; `failing` where it does not answer in time.
+   */
   abstract probe(server: BackendServer): Promise<HealthReport>;
-  /** Closes connections to servers that are no longer needed. */
+  /** Closes all connections. */
   abstract close(): Promise<void>;
 }
 
-/** Reaches backend servers over HTTP. */
+/** Sends requests to backend servers over HTTP/1.1, one pool per address. */
 export class HttpBackendClient extends BackendClient {
   readonly #pools = new Map<string, Pool>();
 
@@ -133,7 +144,9 @@
   request: ForwardRequest;
 }
 
-/** Only a whole answer that names its request, or names none, is an answer. */
+/**
+ * Accepts an answer only if it is complete and carries the request's id or none.
+ */
 async function readAnswer(
   response: Dispatcher.ResponseData,
   { document, server, request }: AnswerContext,
@@ -174,7 +187,10 @@
   return typeof text === "string" ? parseRetryAfterMs(text) : undefined;
 }
 
-/** undici throws where the body ends before its stated length. */
+/**
+ * Reads a body; undefined where it is too large. undici throws if the body ends
+ * before its stated length.
+ */
 async function readBody(
   body: Dispatcher.ResponseData["body"],
 ): Promise<Buffer | undefined> {
--- a/src/forwarding/backend_client_test.ts
+++ b/src/forwarding/backend_client_test.ts
@@ -108,7 +108,7 @@
   });
 }
 
-test("an answer is whole and its own", async (context) => {
+test("concurrent answers are complete and belong to their requests", async (context) => {
   const results = await Promise.all(
     ["a", "b", "c", "d"].map((id) => send(context, id)),
   );
@@ -121,24 +121,24 @@
   });
 });
 
-test("a leaving server's refusal says so", async (context) => {
+test("a refusal by a leaving server is reported as leaving", async (context) => {
   context.backend.faults.leaving = true;
   assert.equal(await send(context), { kind: "shed", leaving: true });
 });
 
-test("a status of the document counts as a refusal", async (context) => {
+test("a status listed in shedStatuses counts as a refusal", async (context) => {
   context.document.shedStatuses = [500];
   const { faults } = context.backend;
   Object.assign(faults, { answerMode: "error", answerModeCount: 1 });
   assert.equal(await send(context), { kind: "shed", leaving: false });
 });
 
-test("nothing is sent to a server that is gone", async (context) => {
+test("an exchange with a stopped server is reported as not sent", async (context) => {
   await context.backend.stop();
   assert.is((await send(context)).kind, "not_sent");
 });
 
-test("a cancelled request ends at the server too", async (context) => {
+test("cancelling an exchange also ends the request at the server", async (context) => {
   context.backend.faults.slowFactor = 1_000;
   const cancel = new AbortController();
   const sent = send(context, "r1", cancel.signal);
@@ -155,11 +155,11 @@
 const probes: [string, Partial<BackendFaults>, string, number][] = [
   ["serving", {}, "healthy", 0],
   ["draining", { healthDraining: true }, "draining", 0],
-  ["lying about its load", { reportedUse: 0.9 }, "healthy", 0.9],
+  ["reporting a wrong utilization", { reportedUse: 0.9 }, "healthy", 0.9],
 ];
 
 for (const [name, faults, state, reportedUse] of probes) {
-  test(`a probe of a server ${name}`, async (context) => {
+  test(`probe of a server ${name}`, async (context) => {
     Object.assign(context.backend.faults, faults);
     const server = context.document.backendServers[0];
     assert.equal(await context.client.probe(server), {
@@ -171,7 +171,7 @@
   });
 }
 
-test("a probe of a server that is gone", async (context) => {
+test("probe of a stopped server: failing", async (context) => {
   await context.backend.stop();
   const server = context.document.backendServers[0];
   assert.is((await context.client.probe(server)).state, "failing");
--- a/src/forwarding/balancing_policy.ts
+++ b/src/forwarding/balancing_policy.ts
@@ -1,5 +1,5 @@
 /**
- * Ways to choose a backend server. Pure.
+ * Load balancing policies: choose a backend server for a request. Pure.
  *
  * @module
  */
@@ -7,28 +7,29 @@
 import { estimateLatencyMs } from "./server_limits.ts";
 import { type ServerState } from "./server_set.ts";
 
-/** A server with room and what its choice depends on. */
+/** A server with a free slot. */
 export interface Candidate {
   state: ServerState;
-  /** Requests that it may have in flight from this entry. */
+  /** Maximum number of requests in flight from this entry to the server. */
   limit: number;
 }
 
-/** Circumstances of a choice. */
+/** Input of a policy besides the candidates. */
 export interface BalancingContext {
+  /** Median of the eligible servers' observed latencies, in ms. */
   medianMs: number;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
 
-/** A way to choose. */
+/** A load balancing policy. */
 export abstract class BalancingPolicy {
-  /** Name in reports. */
+  /** Name used in reports. */
   abstract readonly name: string;
   /**
-   * @param candidates Servers with room; not empty.
-   * @param context See there.
-   * @returns One of them.
+   * @param candidates Servers with a free slot; must not be empty.
+   * @param context Median latency and time.
+   * @returns The server to send the request to.
    */
   abstract choose(
     candidates: readonly Candidate[],
@@ -36,7 +37,7 @@
   ): Candidate;
 }
 
-/** A way to choose in which chance has a part. */
+/** Base class of policies that use a random source. */
 abstract class RandomizedPolicy extends BalancingPolicy {
   protected readonly random: Random;
 
@@ -47,7 +48,7 @@
   }
 }
 
-/** Any, by chance. */
+/** Chooses uniformly at random. */
 export class RandomPolicy extends RandomizedPolicy {
   override readonly name = "random";
   override choose(candidates: readonly Candidate[]): Candidate {
@@ -55,7 +56,7 @@
   }
 }
 
-/** One after the other. */
+/** Chooses the servers in turn. */
 export class RoundRobinPolicy extends BalancingPolicy {
   override readonly name = "round_robin";
   #next = 0;
@@ -66,7 +67,7 @@
   }
 }
 
-/** The one with the fewest in flight. */
+/** Chooses the server with the lowest utilization. */
 export class LeastInFlightPolicy extends RandomizedPolicy {
   override readonly name = "least_in_flight";
   override choose(candidates: readonly Candidate[]): Candidate {
@@ -74,7 +75,7 @@
   }
 }
 
-/** The less used of two taken by chance. */
+/** Chooses the less utilized of two random servers. */
 export class TwoChoicesPolicy extends RandomizedPolicy {
   override readonly name = "two_choices";
   override choose(candidates: readonly Candidate[]): Candidate {
@@ -84,14 +85,15 @@
   }
 }
 
-/** Reports older than this say nothing. */
+/** Age from which a server's health report is ignored. */
 const REPORT_EXPIRY_MS = 2_000;
-/** Weight of a fresh report against what is in flight from here. */
+/** Weight of a fresh report, relative to this entry's own utilization. */
 const MAX_REPORT_WEIGHT = 0.3;
 
 /**
- * The one expected to answer first: observed latency, drawn out by what is in
- * flight, then by the server's own report, discounted by its age.
+ * Chooses the server with the lowest expected latency: its observed latency,
+ * scaled up by its utilization from this entry and by the utilization that it
+ * reports itself, which is discounted by the age of the report.
  */
 export class ExpectedLatencyPolicy extends RandomizedPolicy {
   override readonly name = "expected_latency";
@@ -114,7 +116,7 @@
   return state.inFlight / limit;
 }
 
-/** Ties are broken by chance, so that entries do not all choose alike. */
+/** Breaks ties at random, so that entries do not all choose the same server. */
 function pickLowest(
   candidates: readonly Candidate[],
   random: Random,
--- a/src/forwarding/entry_stats.ts
+++ b/src/forwarding/entry_stats.ts
@@ -1,5 +1,5 @@
 /**
- * Counts what an entry carries, for the steers and for metrics.
+ * Traffic statistics of an entry, reported to the steers and as metrics.
  *
  * @module
  */
@@ -16,27 +16,42 @@
 import type { LocalRunner } from "./local_runner.ts";
 import type { ForwardRequest, Outcome } from "./types.ts";
 
+/** Weight of the newest request in the mean number of bytes. */
 const BYTES_SMOOTHING_FACTOR = 0.05;
 
 interface ServiceStats {
-  /** By the caller's region. */
+  /** Request rate by the caller's region. */
   arrivals: Map<string, RateCounter>;
+  /** Bytes of a request body and its answer body. */
   bytes: MovingMean;
 }
 
-/** Outcomes since the process started. */
+/** Number of outcomes by kind since the process started. */
 export type OutcomeCounts = Record<Outcome["kind"], number>;
 
-/** What an entry carries. */
+/** Traffic statistics of an entry. */
 export interface EntryStats {
+  /**
+   * Counts a request, refused ones included.
+   *
+   * @param service Name of the service.
+   * @param callerRegion Region of the caller.
+   */
   recordArrival(service: string, callerRegion: string): void;
+  /**
+   * Counts an outcome, and the bytes of an answered request.
+   *
+   * @param request The request.
+   * @param outcome How it ended.
+   */
   recordOutcome(request: ForwardRequest, outcome: Outcome): void;
-  /** @returns Figures since the last call. */
+  /** @returns The entry's load; rates cover the time since the last call. */
   read(): EntryLoad;
+  /** @returns Outcomes by kind. */
   counts(): OutcomeCounts;
 }
 
-/** What the figures need. */
+/** Dependencies of the statistics. */
 export interface EntryStatsOptions {
   self: Member;
   runner: LocalRunner;
@@ -45,8 +60,8 @@
 }
 
 /**
- * @param options See there.
- * @returns Figures of an entry that has carried nothing.
+ * @param options Dependencies.
+ * @returns Statistics with all counts at 0.
  */
 export function createEntryStats(options: EntryStatsOptions): EntryStats {
   const { self, runner, clock, metrics } = options;
--- a/src/forwarding/exchange_cancellation.ts
+++ b/src/forwarding/exchange_cancellation.ts
@@ -1,31 +1,34 @@
 /**
- * When an exchange is cut off: at its deadline, or when the caller hangs up. One
- * that must run at most once is not cut off by either: its late answer is kept.
+ * Cancels an exchange at its deadline or when the caller disconnects. Requests
+ * that must run at most once are not cancelled by either, so that a late answer
+ * can still be stored under their idempotency key.
  *
  * @module
  */
 import type { Clock } from "../runtime/clock.ts";
 import type { ForwardRequest } from "./types.ts";
 
-/** How much longer than its deadline an at-most-once request is waited for. */
+/** Time after its deadline until an at-most-once request is cancelled. */
 const LATE_ANSWER_GRACE_MS = 10_000;
 
-/** The end of an exchange. */
+/** Cancellation of one exchange. */
 export interface ExchangeCancellation {
-  /** Aborts when the exchange must end. */
+  /** Aborts when the exchange is cancelled. */
   signal: AbortSignal;
-  /** Time that the exchange has until the request's deadline, in ms. */
+  /** Time from the start of the exchange to the request's deadline, in ms. */
   remainingMs: number;
-  /** Whether the caller's hanging up ended it. */
+  /** @returns Whether it was cancelled because the caller disconnected. */
   isCallerDisconnected(): boolean;
-  /** To be called when the exchange has ended. */
+  /** Removes the timer and the listener; call it once the exchange has ended. */
   release(): void;
 }
 
 /**
+ * Creates the cancellation of an exchange that starts now.
+ *
  * @param request The request of the exchange.
- * @param clock The clock.
- * @returns The end of the exchange that starts now.
+ * @param clock Clock for the timer and the remaining time.
+ * @returns The cancellation.
  */
 export function createExchangeCancellation(
   request: ForwardRequest,
--- a/src/forwarding/key_registry.ts
+++ b/src/forwarding/key_registry.ts
@@ -1,18 +1,21 @@
 /**
- * Remembers idempotency keys, so that each is dispatched at most once and its
- * first answer is given again. Pure; memory is bounded.
+ * Registry of idempotency keys: dispatches each key at most once and replays its
+ * first answer. Pure; memory is bounded.
  *
- * Keys of an epoch are forgotten together, and from then on refused by their
- * epoch alone, so forgetting can't let a key run again.
+ * The keys of an epoch are removed together. From then on they are rejected by
+ * their epoch alone, so removing a key cannot cause it to run again.
  *
  * @module
  */
 import { type IdempotencyKey, RETAINED_EPOCHS } from "./keys.ts";
 import type { Answer, Outcome } from "./types.ts";
 
-/** Keys remembered at most; beyond, new ones are refused as not run. */
+/** Maximum number of keys; beyond it, new keys are refused as not run. */
 export const MAX_KEYS = 200_000;
-/** Bytes of answers kept at most; beyond, only that they ran is known. */
+/**
+ * Maximum size of all stored answers, in bytes; beyond it, the registry stores
+ * only that a key ran.
+ */
 export const MAX_ANSWER_BYTES = 67_108_864;
 
 type KeyState =
@@ -25,38 +28,42 @@
   current: KeyState;
 }
 
-/** What may be done with a key. */
+/** How to handle a request with a key. */
 export type KeyDecision =
-  /** First use: dispatch it, then call `finish`. */
+  /** First use: dispatch the request, then call `finish`. */
   | { decision: "run" }
-  /** Already dispatched: this is, or will be, its outcome. */
+  /** Already dispatched: `outcome` resolves to its outcome. */
   | { decision: "replay"; outcome: Promise<Outcome> }
-  /** Used before with another method, path or body. */
+  /** Already used with another service, method, path or body. */
   | { decision: "mismatch" }
-  /** Its epoch is no longer, or not yet, accepted: it may have run. */
+  /** Its epoch is too old or too new: the request may have run. */
   | { decision: "expired" }
-  /** No memory for another key. */
+  /** The registry holds its maximum number of keys. */
   | { decision: "full" };
 
-/** The keys of one entry process. */
+/** Registry of the idempotency keys of one entry process. */
 export interface KeyRegistry {
   /**
+   * Registers the use of a key.
+   *
    * @param key A key of this process's incarnation.
-   * @param fingerprint Hash of method, path and body.
-   * @param epoch Current epoch by the wall clock.
-   * @returns What may be done.
+   * @param fingerprint Hash of service, method, path and body.
+   * @param epoch Current key epoch by the wall clock.
+   * @returns How to handle the request.
    */
   begin(key: IdempotencyKey, fingerprint: string, epoch: number): KeyDecision;
   /**
-   * @param key A key whose `begin` said `run`.
+   * Stores the outcome of a key and passes it to waiting repetitions.
+   *
+   * @param key A key for which `begin` returned `run`.
    * @param outcome How its request ended; `not_run` frees the key.
    */
   finish(key: IdempotencyKey, outcome: Outcome): void;
-  /** Keys remembered. */
+  /** @returns Number of keys held. */
   size(): number;
 }
 
-/** Bounds of the memory. */
+/** Limits of a registry's memory. */
 export interface KeyRegistryLimits {
   maxKeys: number;
   maxAnswerBytes: number;
@@ -68,7 +75,7 @@
 };
 
 /**
- * @param limits Bounds of the memory.
+ * @param limits Limits of its memory.
  * @returns An empty registry.
  */
 export function createKeyRegistry(
@@ -79,7 +86,7 @@
   let keyCount = 0;
   let answerBytes = 0;
 
-  /** The newest epoch only rises, also when the wall clock is set back. */
+  /** Never lowers the newest epoch, even if the wall clock is set back. */
   function expireEpochs(epoch: number): void {
     newestEpoch = Math.max(newestEpoch, epoch);
     for (const [oldEpoch, records] of epochs) {
@@ -164,7 +171,7 @@
       }
       return Promise.resolve({
         kind: "unknown",
-        reason: "It ran, but its answer is no longer kept",
+        reason: "The request ran, but its answer is no longer stored",
         retryAfterS: 1,
       });
   }
--- a/src/forwarding/key_registry_test.ts
+++ b/src/forwarding/key_registry_test.ts
@@ -30,12 +30,20 @@
   };
 }
 
-const notRun: Outcome = { kind: "not_run", reason: "full", retryAfterS: 1 };
-const unknown: Outcome = { kind: "unknown", reason: "cut", retryAfterS: 1 };
+const notRun: Outcome = {
+  kind: "not_run",
+  reason: "saturated",
+  retryAfterS: 1,
+};
+const unknown: Outcome = {
+  kind: "unknown",
+  reason: "disconnected",
+  retryAfterS: 1,
+};
 
 for (
   const [name, outcome, expected] of [
-    ["an answer is given again", makeAnswer("one"), "answer"],
+    ["an answer is replayed", makeAnswer("one"), "answer"],
     ["an unknown outcome stays unknown", unknown, "unknown"],
   ] as const
 ) {
@@ -52,7 +60,7 @@
   });
 }
 
-test("a key that was not run may be used again", () => {
+test("a key whose request did not run may be used again", () => {
   const registry = createKeyRegistry();
   const key = makeKey(10);
   registry.begin(key, "f", 10);
@@ -60,7 +68,7 @@
   assert.equal(registry.begin(key, "f", 10), { decision: "run" });
 });
 
-test("a repeat during the first run waits for its outcome", async () => {
+test("a repetition during the first run waits for its outcome", async () => {
   const registry = createKeyRegistry();
   const key = makeKey(10);
   registry.begin(key, "f", 10);
@@ -76,13 +84,13 @@
   }
 });
 
-test("another request under the same key is refused", () => {
+test("a different request with the same key is refused", () => {
   const registry = createKeyRegistry();
   registry.begin(makeKey(10), "f", 10);
   assert.equal(registry.begin(makeKey(10), "g", 10), { decision: "mismatch" });
 });
 
-test("a forgotten key is refused, also when the clock is set back", () => {
+test("a removed key is refused, even if the clock is set back", () => {
   const registry = createKeyRegistry();
   const key = makeKey(10);
   registry.begin(key, "f", 10);
@@ -93,7 +101,7 @@
   assert.equal(registry.begin(key, "f", 10), { decision: "expired" });
 });
 
-test("keys and answers are bounded", async () => {
+test("the number of keys and the size of answers are bounded", async () => {
   const registry = createKeyRegistry({ maxKeys: 2, maxAnswerBytes: 4 });
   const [first, second, third] = ["aaaaaaaa", "bbbbbbbb", "cccccccc"]
     .map((rest) => makeKey(10, rest));
@@ -117,10 +125,11 @@
     "vm.1.2.a b c d e",
   ]
 ) {
-  test(`"${text}" is no key`, () => assert.is(parseKey(text), undefined));
+  test(`"${text}" is not a valid key`, () =>
+    assert.is(parseKey(text), undefined));
 }
 
-test("a prefix from a look-up makes a key that parses", () => {
+test("a key with a formatted prefix can be parsed", () => {
   const prefix = formatKeyPrefix("oslo-1-a", 17, 5 * KEY_EPOCH_MS);
   assert.equal(parseKey(`${prefix}.abcdefgh`), {
     text: "oslo-1-a.17.5.abcdefgh",
@@ -131,7 +140,7 @@
   assert.is(getKeyEpoch(5 * KEY_EPOCH_MS), 5);
 });
 
-test("over random uses, a key runs again only after it was not run", () => {
+test("in random sequences, a key runs again only if its request did not run", () => {
   let steps = 0;
   fc.assert(
     fc.property(
--- a/src/forwarding/keys.ts
+++ b/src/forwarding/keys.ts
@@ -1,30 +1,32 @@
 /**
- * Idempotency keys. A key starts with the VM, incarnation and epoch of the one
- * entry process that may dispatch it; a caller adds its own random rest. So no
- * two processes can both dispatch a key, and no write to a store is needed.
+ * Idempotency keys. A key starts with the VM id, the incarnation and the epoch of
+ * the only entry process that may dispatch it, followed by a random suffix from
+ * the caller. No two processes can dispatch the same key, so at-most-once
+ * execution needs no write to a store.
  *
  * @module
  */
 
-/** Length of an epoch. */
+/** Length of a key epoch. */
 export const KEY_EPOCH_MS = 60_000;
-/** Epochs, besides the newest, whose keys are remembered and accepted. */
+/** Number of epochs before the newest whose keys are still accepted. */
 export const RETAINED_EPOCHS = 4;
 
-/** A parsed key. */
+/** A parsed idempotency key. */
 export interface IdempotencyKey {
+  /** The whole key. */
   text: string;
   vmId: string;
   incarnation: number;
   epoch: number;
 }
 
-/** Characters after the prefix: enough to be unique, few enough to keep. */
+/** The suffix is long enough to be unique and bounded to limit memory. */
 const KEY_PATTERN =
   /^([a-z0-9][a-z0-9-]{0,62})\.(\d{1,15})\.(\d{1,10})\.([A-Za-z0-9_-]{8,64})$/;
 
 /**
- * @param wallMs Wall-clock time, in ms since the epoch.
+ * @param wallMs Wall-clock time, in ms since the Unix epoch.
  * @returns Number of the key epoch.
  */
 export function getKeyEpoch(wallMs: number): number {
@@ -34,8 +36,8 @@
 /**
  * @param vmId The entry's VM.
  * @param incarnation The entry process's incarnation.
- * @param wallMs Wall-clock time, in ms since the epoch.
- * @returns What a caller's keys for this entry start with, without the last dot.
+ * @param wallMs Wall-clock time, in ms since the Unix epoch.
+ * @returns Prefix of callers' keys for this entry, without the final dot.
  */
 export function formatKeyPrefix(
   vmId: string,
@@ -47,7 +49,7 @@
 
 /**
  * @param text A caller's key.
- * @returns Its parts, or undefined where it is malformed.
+ * @returns The parsed key, or undefined if it is malformed.
  */
 export function parseKey(text: string): IdempotencyKey | undefined {
   const match = KEY_PATTERN.exec(text);
--- a/src/forwarding/link_limiter.ts
+++ b/src/forwarding/link_limiter.ts
@@ -1,34 +1,40 @@
 /**
- * Keeps traffic to other regions under the links' limits, from the bytes that
- * this entry counts itself. Each entry of a region has an equal part of a link,
- * so the parts add up with no messages. Pure.
+ * Limits traffic to other regions with one token bucket per link. Each entry of a
+ * region has an equal share of the link's limit and counts only its own bytes, so
+ * the limit holds without messages between entries. Pure.
  *
  * @module
  */
 
-/** Bytes that may pass at once after a pause, as seconds of the limit. */
+/** Capacity of a bucket, in seconds of the limit. */
 const BURST_S = 0.5;
 
-/** Traffic to one region. */
+/** Token bucket of one link. */
 interface LinkBucket {
   availableBytes: number;
   refilledAtMs: number;
 }
 
-/** Counts bytes against limits. */
+/** Byte rate limiter for links. */
 export interface LinkLimiter {
   /**
    * @param link Name of the link.
-   * @param limitBytesPerS This entry's part of its limit.
+   * @param limitBytesPerS This entry's share of the link's limit.
    * @param nowMs Monotonic time, in ms.
-   * @returns Whether another request may be sent.
+   * @returns Whether another request may be sent over the link.
    */
   hasCapacity(link: string, limitBytesPerS: number, nowMs: number): boolean;
-  /** Counts bytes that passed; an overdraft delays later requests. */
+  /**
+   * Subtracts sent and received bytes. The balance may become negative, which
+   * delays later requests.
+   *
+   * @param link Name of the link.
+   * @param bytes Number of bytes.
+   */
   count(link: string, bytes: number): void;
 }
 
-/** @returns A limiter that has counted nothing. */
+/** @returns A limiter whose buckets are full. */
 export function createLinkLimiter(): LinkLimiter {
   const links = new Map<string, LinkBucket>();
   return {
--- a/src/forwarding/local_runner.ts
+++ b/src/forwarding/local_runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs requests on the backend servers of the own failure domain: one p-queue
- * for each service, whose concurrency is this entry's share of their slots.
+ * Runs requests on the backend servers of the own failure domain. Each service
+ * has a p-queue whose concurrency is this entry's share of the servers' slots.
  *
  * @module
  */
@@ -37,10 +37,10 @@
 
 const log = createLogger("forwarding");
 
-/** Weight of the newest service time in the mean. */
+/** Weight of the newest service time in the moving mean. */
 const SERVICE_TIME_SMOOTHING_FACTOR = 0.05;
 
-/** What the runner needs. */
+/** Dependencies of a local runner. */
 export interface LocalRunnerOptions {
   clock: Clock;
   random: Random;
@@ -49,32 +49,43 @@
   poisonRequests: PoisonRequestTracker;
 }
 
-/** One service's waiting line and servers. */
+/** Queue and backend servers of one service. */
 export interface ServiceQueue {
   set: ServerSet;
   queue: PQueue<FairQueue>;
+  /** Waiting requests of `queue`. */
   waiting: FairQueue;
+  /** Mean time of an answered request at a backend server, in ms. */
   serviceMs: MovingMean;
-  /** Requests at backend servers. */
+  /** @returns Number of requests at backend servers. */
   inFlight(): number;
+  /** @returns Maximum number of requests at backend servers. */
   limit(): number;
 }
 
 /** Runs requests in the own failure domain. */
 export interface LocalRunner {
-  /** @returns The line of a service; made on first use. */
+  /** @returns The queue of a service, created on first use. */
   getServiceQueue(document: ServiceDocument): ServiceQueue;
+  /** @returns The queues of all services used so far. */
   listServiceQueues(): ServiceQueue[];
-  /** @returns Whether a request could be started at once. */
+  /** @returns Whether a request of the service would start without waiting. */
   hasFreeSlot(document: ServiceDocument): boolean;
+  /**
+   * Runs a request if it can be answered in time, with retries.
+   *
+   * @param document Document of the service.
+   * @param request The request.
+   * @returns How the request ended.
+   */
   run(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
-  /** Brings the queues' concurrency in line with the servers. */
+  /** Sets the queues' concurrency to the current limits of their servers. */
   updateConcurrency(): void;
 }
 
 /**
- * @param options See there.
- * @returns A runner that knows no service yet.
+ * @param options Dependencies.
+ * @returns A runner without any service queue.
  */
 export function createLocalRunner(options: LocalRunnerOptions): LocalRunner {
   const { clock, random, backends, policy, poisonRequests: poisonRequests } =
@@ -116,10 +127,10 @@
   ): Promise<Outcome> {
     const serviceQueue = getServiceQueue(document);
     retryBudget.recordRequest();
-    const name = poisonRequests.name(request);
-    const retryAfterMs = poisonRequests.getRetryAfterMs(name);
+    const fingerprint = poisonRequests.name(request);
+    const retryAfterMs = poisonRequests.getRetryAfterMs(fingerprint);
     if (retryAfterMs !== undefined) {
-      const reason = "Backend servers ended while they ran this request";
+      const reason = "Backend servers crashed while running this request";
       return Promise.resolve(notRun(reason, retryAfterMs));
     }
     const { weight } = request.requestClass;
@@ -135,14 +146,14 @@
     if (admission.decision === "refuse") {
       return Promise.resolve(notRun(admission.reason, admission.waitMs));
     }
-    return waitForSlot(serviceQueue, request, { name, serviceMs });
+    return waitForSlot(serviceQueue, request, { name: fingerprint, serviceMs });
   }
 
-  /** A request whose time runs out in the line is refused at that moment. */
+  /** Refuses the request as soon as too little time is left to run it. */
   async function waitForSlot(
     serviceQueue: ServiceQueue,
     request: ForwardRequest,
-    { name, serviceMs }: { name: string; serviceMs: number },
+    { name: fingerprint, serviceMs }: { name: string; serviceMs: number },
   ): Promise<Outcome> {
     const waitAbort = new AbortController();
     const maxWaitMs = request.deadlineMs - clock.monotonicMs() - serviceMs;
@@ -159,7 +170,7 @@
     try {
       return await serviceQueue.queue.add(() => {
         releaseWait();
-        return runOnServers(serviceQueue, request, name);
+        return runOnServers(serviceQueue, request, fingerprint);
       }, {
         priority: request.requestClass.weight,
         id: request.id,
@@ -167,7 +178,7 @@
       });
     } catch (cause) {
       if (!waitAbort.signal.aborted) throw cause;
-      return notRun("Its time ran out before a slot was free", serviceMs);
+      return notRun("No slot became free in time", serviceMs);
     } finally {
       releaseWait();
     }
@@ -199,7 +210,7 @@
           fingerprint,
           state.server,
         );
-        // What must not run twice waits for nothing more.
+        // Other requests are not retried, so they need not wait for the check.
         if (request.requestClass.idempotent) await recorded;
       }
       const decision = decideRetry({
@@ -249,7 +260,7 @@
     return policy.choose(candidates, { medianMs, nowMs }).state;
   }
 
-  /** An at-most-once request is not cut off: its late answer is kept. */
+  /** Runs one exchange and records its result in the server's state. */
   async function exchange(
     serviceQueue: ServiceQueue,
     state: ServerState,
@@ -277,7 +288,7 @@
     return result;
   }
 
-  /** Takes in what a server says of itself. */
+  /** Applies a server's own signals: that it is leaving, or its backoff time. */
   function applyServerSignals(
     state: ServerState,
     result: ExchangeResult,
@@ -291,7 +302,7 @@
   }
 
   function logFailure(state: ServerState, result: ExchangeResult): void {
-    log.info("Exchange without answer", {
+    log.info("Exchange ended without an answer", {
       step: "backend.exchange",
       peer: state.server.id,
       result,
@@ -299,14 +310,14 @@
   }
 
   return {
-    getServiceQueue: getServiceQueue,
+    getServiceQueue,
     listServiceQueues: () => [...serviceQueues.values()],
     hasFreeSlot(document) {
       const { queue, limit } = getServiceQueue(document);
       return queue.size === 0 && queue.pending < limit();
     },
     run,
-    updateConcurrency: updateConcurrency,
+    updateConcurrency,
   };
 }
 
@@ -321,7 +332,7 @@
 ): string {
   switch (result.kind) {
     case "shed":
-      return "The backend server refused it before running it";
+      return "The backend server refused the request without running it";
     case "not_sent":
     case "failed":
       return result.reason;
--- a/src/forwarding/local_runner_test.ts
+++ b/src/forwarding/local_runner_test.ts
@@ -19,16 +19,16 @@
   | "answer"
   | "answer_leaving"
   | "shed"
-  | "shed_resting"
+  | "shed_with_backoff"
   | "not_sent"
-  | "dies_before"
-  | "dies_after";
+  | "crash_before"
+  | "crash_after";
 
-/** Servers that behave as told, and remember what they ran. */
+/** Simulates servers with a given behavior, and records what they ran. */
 class FakeBackendClient extends BackendClient {
   readonly runs = new Map<string, number>();
   readonly inFlight = new Map<string, number>();
-  /** Requests that reached each server. */
+  /** Number of requests that reached each server. */
   readonly arrivals = new Map<string, number>();
   peak = 0;
   readonly #clock: FakeClock;
@@ -58,7 +58,7 @@
       };
       const onAbort = () => {
         this.#recordRun(request.id);
-        finish({ kind: "failed", reason: "cut off" });
+        finish({ kind: "failed", reason: "aborted" });
       };
       const timer = this.#clock.after(durationMs, () => {
         finish(this.#respond(mode, exchange));
@@ -74,13 +74,13 @@
     switch (mode) {
       case "shed":
         return { kind: "shed", leaving: false };
-      case "shed_resting":
+      case "shed_with_backoff":
         return { kind: "shed", leaving: false, backoffMs: 3_000 };
       case "not_sent":
         return { kind: "not_sent", reason: "refused" };
-      case "dies_before":
+      case "crash_before":
         return { kind: "failed", reason: "reset" };
-      case "dies_after":
+      case "crash_after":
         this.#recordRun(request.id);
         return { kind: "failed", reason: "reset" };
       case "answer":
@@ -106,7 +106,7 @@
   }
 
   override probe(): Promise<HealthReport> {
-    throw new Error("Not probed here");
+    throw new Error("FakeBackendClient does not support probes");
   }
 
   override close(): Promise<void> {
@@ -141,13 +141,13 @@
   const backends = new FakeBackendClient(clock, random, () => modeOf(random));
   const policy = new ExpectedLatencyPolicy(random);
   const endCheck: EndCheck = { check: () => Promise.resolve("ended") };
-  const deadly = createPoisonRequestTracker(clock, endCheck);
+  const poisonRequests = createPoisonRequestTracker(clock, endCheck);
   const runner = createLocalRunner({
     clock,
     random,
     backends,
     policy,
-    poisonRequests: deadly,
+    poisonRequests,
   });
   const { set } = runner.getServiceQueue(document);
   syncServers(set, document, {
@@ -185,7 +185,7 @@
   };
 }
 
-/** Lets promises settle between two steps of the clock. */
+/** Advances the clock in steps of 5 ms, and lets promises settle after each. */
 async function advance(clock: FakeClock, durationMs: number): Promise<void> {
   for (let elapsed = 0; elapsed < durationMs; elapsed += 5) {
     clock.advance(5);
@@ -193,7 +193,7 @@
   }
 }
 
-test("under random faults: slots kept, at most once, truthful outcomes", async () => {
+test("under random faults: slot limits, at-most-once and outcomes hold", async () => {
   let requests = 0;
   const kinds: Record<string, number> = {};
   await fc.assert(
@@ -212,8 +212,8 @@
         const faults: ServerBehavior[] = [
           "shed",
           "not_sent",
-          "dies_before",
-          "dies_after",
+          "crash_before",
+          "crash_after",
         ];
         const { clock, backends, runner, set } = createTestRunner(
           (random) =>
@@ -256,7 +256,7 @@
   assert.ok(kinds.answer > 0 && kinds.not_run > 0 && kinds.unknown > 0);
 });
 
-test("what can't be answered in time is refused at arrival", async () => {
+test("a request that cannot be answered in time is refused at arrival", async () => {
   const { clock, runner } = createTestRunner(() => "answer");
   const outcomes: (Outcome["kind"] | "waiting")[] = [];
   for (let index = 0; index < 60; index++) {
@@ -277,29 +277,29 @@
   assert.not.ok(outcomes.includes("waiting"));
 });
 
-test("a caller that hangs up in the line is not run", async () => {
+test("a queued request whose caller disconnects is not run", async () => {
   const { clock, runner, backends } = createTestRunner(() => "answer");
   const options = { clock, idempotent: true, timeMs: 900 };
   for (let index = 0; index < 9; index++) {
     void runner.run(document, makeRequest(`r${index}`, options));
   }
-  const hangUp = new AbortController();
+  const disconnect = new AbortController();
   const request = {
     ...makeRequest("late", options),
-    signal: hangUp.signal,
+    signal: disconnect.signal,
   };
   const run = runner.run(document, request);
-  hangUp.abort();
+  disconnect.abort();
   assert.is((await run).kind, "not_run");
   await advance(clock, 2_000);
   assert.is(backends.runs.get("late"), undefined);
 });
 
-test("a request under which servers end is not sent to further ones", async () => {
-  const { clock, runner, backends } = createTestRunner(() => "dies_after");
+test("a request that crashed three servers is not sent to further ones", async () => {
+  const { clock, runner, backends } = createTestRunner(() => "crash_after");
   for (let index = 0; index < 10; index++) {
     const options = { clock, idempotent: true, timeMs: 900 };
-    const request = { ...makeRequest(`r${index}`, options), path: "/deadly" };
+    const request = { ...makeRequest(`r${index}`, options), path: "/poison" };
     const run = runner.run(document, request);
     await advance(clock, 2_000);
     const { kind } = await run;
@@ -309,7 +309,7 @@
   assert.is(runs, 3);
 });
 
-test("a leaving server gets no new work at once", async () => {
+test("a server marked as leaving gets no new requests", async () => {
   const { clock, runner, backends, set } = createTestRunner(() => "answer");
   markLeaving(set.servers.get("s-0")!, "document", 0);
   runner.updateConcurrency();
@@ -323,7 +323,7 @@
   assert.is(backends.inFlight.get("s-0"), undefined);
 });
 
-/** Runs requests one after the other, and counts what reached each server. */
+/** Runs requests one at a time, and counts those that reached each server. */
 async function countArrivals(mode: ServerBehavior, requests: number) {
   const { clock, runner, backends } = createTestRunner(() => mode);
   const options = { clock, idempotent: true, timeMs: 900 };
@@ -335,14 +335,14 @@
   return [...backends.arrivals.values()];
 }
 
-test("a server that says with an answer that it leaves gets no new work", async () => {
+test("a server whose answer reports that it is leaving gets no new requests", async () => {
   for (const arrivals of await countArrivals("answer_leaving", 12)) {
     assert.is(arrivals, 1);
   }
 });
 
-test("a server that asks for rest gets no new work in that time", async () => {
-  for (const arrivals of await countArrivals("shed_resting", 3)) {
+test("a server that asks for a backoff gets no requests during it", async () => {
+  for (const arrivals of await countArrivals("shed_with_backoff", 3)) {
     assert.is(arrivals, 1);
   }
 });
--- a/src/forwarding/outcomes.ts
+++ b/src/forwarding/outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Makes outcomes without an answer, with when to come back.
+ * Creates outcomes without an answer, with a time to retry after.
  *
  * @module
  */
@@ -7,17 +7,28 @@
 import type { Random } from "../runtime/random.ts";
 import type { Outcome } from "./types.ts";
 
-/** Makes outcomes; times to come back are spread by chance. */
+/** Creates outcomes; the times to retry after are randomized. */
 export interface OutcomeFactory {
-  /** Proven not run; `waitMs` is when it could have started. */
+  /**
+   * Creates the outcome of a request that provably did not run.
+   *
+   * @param reason Why it did not run; shown to the caller.
+   * @param waitMs Time until it could have started, in ms.
+   * @returns The outcome.
+   */
   notRun(reason: string, waitMs: number): Outcome;
-  /** It may have run. */
+  /**
+   * Creates the outcome of a request that may have run.
+   *
+   * @param reason Why its outcome is unknown; shown to the caller.
+   * @returns The outcome.
+   */
   unknown(reason: string): Outcome;
 }
 
 /**
- * @param random The random source.
- * @returns The maker.
+ * @param random Random source for the times to retry after.
+ * @returns The factory.
  */
 export function createOutcomeFactory(random: Random): OutcomeFactory {
   return {
--- a/src/forwarding/peer_client.ts
+++ b/src/forwarding/peer_client.ts
@@ -1,5 +1,5 @@
 /**
- * Hands requests over to other entries.
+ * HTTP client that hands requests over to other entries.
  *
  * @module
  */
@@ -9,56 +9,66 @@
 import { classifyTransportError, describeError } from "../runtime/errors.ts";
 import { type ForwardRequest, HEADERS, type Outcome } from "./types.ts";
 
-/** Path of a hand-over at the peer address. */
+/** Path of hand-overs at an entry's peer address. */
 export const HANDOVER_PATH = "/v1/handover";
 const CONNECT_TIMEOUT_MS = 500;
 const CONNECTIONS_PER_PEER = 64;
 
-/** What the receiver is asked to do. */
+/** What the receiving entry does with the request. */
 export type HandoverMode =
-  /** Run it in its own failure domain. */
+  /** Runs it in its own failure domain. */
   | "run"
-  /** Own its key: decide everything about it. */
+  /** Owns its idempotency key, and so decides whether and where it runs. */
   | "own";
 
-/** A hand-over. */
+/** Parameters of one hand-over. */
 export interface Handover {
   /** Peer address of the receiving entry. */
   address: string;
   mode: HandoverMode;
   request: ForwardRequest;
-  /** Time that the receiver has, in ms. */
+  /** Time left for the receiver to answer, in ms; sent as a header. */
   remainingMs: number;
+  /** Aborts the hand-over. */
   signal: AbortSignal;
 }
 
-/** How a hand-over ended: as the receiver says, or without its word. */
+/** How a hand-over ended. */
 export type HandoverResult =
+  /** The receiver reported the outcome. */
   | { kind: "outcome"; outcome: Outcome }
+  /** Nothing was sent. */
   | { kind: "not_sent"; reason: string }
+  /** The receiver may have got the request, but reported no outcome. */
   | { kind: "failed"; reason: string };
 
-/** How other entries are reached. */
+/** Client for other entries. */
 export abstract class PeerClient {
-  /** Hands a request over once; never throws. */
+  /**
+   * Hands a request over once, without retries. Never rejects.
+   *
+   * @param handover The request, its receiver and its time limit.
+   * @returns How the hand-over ended.
+   */
   abstract handOver(handover: Handover): Promise<HandoverResult>;
+  /** Closes all connections. */
   abstract close(): Promise<void>;
 }
 
-/** Reaches other entries over HTTP. */
+/** Hands requests over by HTTP/1.1, with one pool per address. */
 export class HttpPeerClient extends PeerClient {
   readonly #key: string;
   readonly #resolveAddress: (address: string) => string;
   readonly #pools = new Map<string, Pool>();
 
   /**
-   * @param key The key of peer links.
-   * @param translate Gives the address to dial for a peer's address.
+   * @param key Key that authenticates entries to each other.
+   * @param resolveAddress Returns the address to connect to for a peer's address.
    */
-  constructor(key: string, translate: (address: string) => string) {
+  constructor(key: string, resolveAddress: (address: string) => string) {
     super();
     this.#key = key;
-    this.#resolveAddress = translate;
+    this.#resolveAddress = resolveAddress;
   }
 
   override async handOver(handover: Handover): Promise<HandoverResult> {
--- a/src/forwarding/poison_requests.ts
+++ b/src/forwarding/poison_requests.ts
@@ -1,9 +1,9 @@
 /**
- * Requests under which this entry saw backend servers end.
+ * Quarantines requests under which this entry saw backend servers crash.
  *
- * Load pattern: a request ends each server that runs it, and its caller repeats
- * it; with three exchanges an arrival, ten arrivals ended thirty servers.
- * Entries don't tell each other: each sees its own three ends.
+ * Without it, a poison request that its caller repeats crashes one server per
+ * attempt: with three attempts each, ten arrivals crashed thirty servers. Entries
+ * do not share these observations; each needs to see three crashes itself.
  *
  * @module
  */
@@ -20,28 +20,48 @@
 
 const log = createLogger("forwarding");
 
-/** What a server drops as it ends is noticed within that time. */
+/**
+ * Failures at one server within this time are attributed to the same crash: a
+ * crash drops all requests in flight at once.
+ */
 const CRASH_WINDOW_MS = 1_000;
 
-/** What an entry holds against requests. */
+/** Tracks the crashes that requests of this entry coincided with. */
 export interface PoisonRequestTracker {
-  /** @returns A name that each repeat of the request has as well. */
+  /** @returns Fingerprint of the request, equal for each repetition of it. */
   name(request: ForwardRequest): string;
-  /** @returns Time until it may run; undefined where it may now. */
-  getRetryAfterMs(name: string): number | undefined;
-  /** @returns Whether it may be sent on within the same arrival. */
-  mayRetry(name: string): boolean;
-  /** Notes that a server ran it to an answer. */
-  recordAnswer(name: string): void;
-  /** Looks whether a server ended that gave no answer. */
-  recordFailure(name: string, server: BackendServer): Promise<void>;
+  /**
+   * @param fingerprint Fingerprint of a request.
+   * @returns Time until the request may run, in ms; undefined if it may run now.
+   */
+  getRetryAfterMs(fingerprint: string): number | undefined;
+  /**
+   * @param fingerprint Fingerprint of a request.
+   * @returns Whether the request may be retried at once at another server.
+   */
+  mayRetry(fingerprint: string): boolean;
+  /**
+   * Records that a server answered the request.
+   *
+   * @param fingerprint Fingerprint of the request.
+   */
+  recordAnswer(fingerprint: string): void;
+  /**
+   * Checks whether a server that gave no answer crashed, and records the crash.
+   *
+   * @param fingerprint Fingerprint of the request.
+   * @param server The server that it was sent to.
+   * @returns Resolves once the crash is recorded or ruled out.
+   */
+  recordFailure(fingerprint: string, server: BackendServer): Promise<void>;
+  /** Stops the timers. */
   close(): void;
 }
 
 /**
- * @param clock The clock.
- * @param endCheck Tells servers that ended.
- * @returns An entry's memory that holds nothing against any request.
+ * @param clock Clock for retention and retry times.
+ * @param endCheck Finds out whether a server crashed.
+ * @returns A tracker without any recorded crash.
  */
 export function createPoisonRequestTracker(
   clock: Clock,
@@ -59,7 +79,10 @@
   });
   factStore.subscribe(suspectTracker.apply);
 
-  /** Backend servers keep their name when they start again. */
+  /**
+   * Identifies a server instance by the number of its crashes, since a backend
+   * server keeps its id when it restarts.
+   */
   function getInstanceId({ id }: BackendServer): string {
     const nowMs = clock.monotonicMs();
     const lastCrash = crashes.get(id) ?? { count: 0, atMs: -Infinity };
@@ -74,24 +97,24 @@
   return {
     name: ({ method, service, path, body }) =>
       makeFingerprint({ method, host: service, path, caller: "", body }),
-    getRetryAfterMs(name) {
-      const assessment = suspectTracker.judge(name);
+    getRetryAfterMs(fingerprint) {
+      const assessment = suspectTracker.judge(fingerprint);
       if (assessment.kind === "set_aside") return assessment.retryAfterMs;
-      if (assessment.kind === "suspect") suspectTracker.noteTried(name);
+      if (assessment.kind === "suspect") suspectTracker.noteTried(fingerprint);
       return undefined;
     },
-    mayRetry: (name) => maySendAgain(suspectTracker.judge(name)),
+    mayRetry: (fingerprint) => maySendAgain(suspectTracker.judge(fingerprint)),
     recordAnswer: suspectTracker.noteAnswer,
     close: suspectTracker.stop,
-    async recordFailure(name, server) {
+    async recordFailure(fingerprint, server) {
       const verdict = await endCheck.check(server);
       if (verdict !== "ended") return;
-      suspectTracker.noteEnd(name, getInstanceId(server));
-      const assessment = suspectTracker.judge(name);
-      log.info("Backend server ended under a request", {
+      suspectTracker.noteEnd(fingerprint, getInstanceId(server));
+      const assessment = suspectTracker.judge(fingerprint);
+      log.info("Backend server crashed while running a request", {
         step: "backend.exchange",
         peer: server.id,
-        request: name,
+        request: fingerprint,
         judgement: assessment.kind,
       });
     },
--- a/src/forwarding/request_forwarder.ts
+++ b/src/forwarding/request_forwarder.ts
@@ -1,6 +1,7 @@
 /**
- * The way of a request through an entry: its key, its place, then the own
- * failure domain's backend servers or another entry.
+ * Forwards requests through an entry: handles the idempotency key, selects a
+ * region and a failure domain, then runs the request on the backend servers of
+ * the entry's own failure domain or hands it over to another entry.
  *
  * @module
  */
@@ -28,18 +29,18 @@
 } from "./peer_client.ts";
 import type { ForwardRequest, Outcome } from "./types.ts";
 
-/** Hand-overs that a request may take, from its first entry on. */
+/** Maximum number of hand-overs of a request between entries. */
 const MAX_HOPS = 2;
-/** Failure domains tried for one request. */
+/** Maximum number of failure domains tried for one request. */
 const MAX_DOMAINS = 3;
-/** A peer that uses more than this share of its slots is not handed work. */
+/** Requests are not handed over to peers at or above this utilization. */
 const MAX_PEER_UTILIZATION = 0.85;
-/** Age at which a peer's figures say nothing: one report of them was missed. */
+/** A peer's load report is ignored once the next one was missed. */
 const MAX_LOAD_AGE_MS = LOAD_REFRESH_MS * 1.5;
-/** Bytes of a request's and an answer's headers, roughly. */
+/** Approximate size of the headers of a request and its answer, in bytes. */
 const HEADER_BYTES = 900;
 
-/** What the flow needs. */
+/** Dependencies of a request forwarder. */
 export interface RequestForwarderOptions {
   agent: ControlAgent;
   steering: Steering;
@@ -51,11 +52,24 @@
   random: Random;
 }
 
-/** Carries requests. */
+/** Forwards requests to backend servers or to other entries. */
 export interface RequestForwarder {
-  /** Carries a caller's request, or one whose key this entry owns. */
+  /**
+   * Handles a caller's request, or a request handed over because this entry owns
+   * its key.
+   *
+   * @param document Document of the service.
+   * @param request The request.
+   * @returns How the request ended.
+   */
   handle(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
-  /** Runs a request that another entry placed here. */
+  /**
+   * Runs a request that another entry routed to this failure domain.
+   *
+   * @param document Document of the service.
+   * @param request The request.
+   * @returns How the request ended.
+   */
   runLocally(
     document: ServiceDocument,
     request: ForwardRequest,
@@ -63,8 +77,8 @@
 }
 
 /**
- * @param options See there.
- * @returns The flow.
+ * @param options Dependencies.
+ * @returns A forwarder for the options' entry.
  */
 export function createRequestForwarder(
   options: RequestForwarderOptions,
@@ -106,12 +120,16 @@
         return result.outcome;
       case "mismatch":
         return Promise.resolve(
-          notRun("The key was used with another request", 0),
+          notRun("The idempotency key was used with another request", 0),
         );
       case "expired":
-        return Promise.resolve(unknown("The key's epoch is not accepted"));
+        return Promise.resolve(
+          unknown("The epoch of the idempotency key is not accepted"),
+        );
       case "full":
-        return Promise.resolve(notRun("Too many keys are remembered", 5_000));
+        return Promise.resolve(
+          notRun("The idempotency key registry is full", 5_000),
+        );
     }
   }
 
@@ -120,7 +138,7 @@
     request: ForwardRequest,
     key: IdempotencyKey,
   ): Promise<Outcome> {
-    let outcome: Outcome = unknown("It failed inside this entry");
+    let outcome: Outcome = unknown("The entry failed to process the request");
     try {
       outcome = await routeToDomain(document, request);
     } finally {
@@ -129,7 +147,7 @@
     return outcome;
   }
 
-  /** Only the owner may say anything certain about a key. */
+  /** Only the entry that owns a key can prove that its request did not run. */
   async function forwardToOwner(
     request: ForwardRequest,
     key: IdempotencyKey,
@@ -139,7 +157,7 @@
       member.incarnation === key.incarnation
     );
     if (owner === undefined || request.hops > 0) {
-      return unknown("The entry that owns the key is gone");
+      return unknown("The entry that owns the key is no longer available");
     }
     const result = await handOver(owner.member, "own", request);
     if (result.kind === "outcome") return result.outcome;
@@ -159,7 +177,7 @@
     const region = pickRegion(placement);
     if (region === undefined) {
       return Promise.resolve(
-        notRun("No region is planned for these callers", 1_000),
+        notRun("No region is assigned to the callers' region", 1_000),
       );
     }
     const domains = listDomains(document, region);
@@ -169,13 +187,13 @@
     ].slice(0, MAX_DOMAINS);
     if (ranked.length === 0) {
       return Promise.resolve(
-        notRun(`No entry of region ${region} can be reached`, 1_000),
+        notRun(`No entry of region ${region} is reachable`, 1_000),
       );
     }
     return tryDomains(document, request, ranked);
   }
 
-  /** Drained failure domains serve what does not fit elsewhere. */
+  /** Drained failure domains are used only after all others. */
   function listDomains(document: ServiceDocument, region: string) {
     const context = {
       wallMs: clock.now().getTime(),
@@ -200,13 +218,13 @@
     return agent.serving("entry").filter((member) => member.region === region);
   }
 
-  /** Goes on only while it is proven that nothing ran. */
+  /** Tries the next domain only if the request provably did not run. */
   async function tryDomains(
     document: ServiceDocument,
     request: ForwardRequest,
     domains: readonly string[],
   ): Promise<Outcome> {
-    let last: Outcome = notRun("No failure domain took it", 1_000);
+    let last: Outcome = notRun("No failure domain accepted the request", 1_000);
     for (const domain of domains) {
       last = domain === self.failureDomain
         ? await runLocally(document, request)
@@ -235,7 +253,10 @@
     return runner.run(document, request);
   }
 
-  /** Work moves to where slots are free; slots never move. */
+  /**
+   * Finds the least utilized entry of the own failure domain. Requests move to
+   * entries with free slots; the slots of an entry are never lent to others.
+   */
   function findPeerWithCapacity(): Member | undefined {
     const nowMs = clock.monotonicMs();
     const candidates = agent.serving("entry")
@@ -260,12 +281,15 @@
   ): Promise<Outcome> {
     const region = agent.config().regionOf.get(domain) ?? domain;
     if (!hasLinkCapacity(region)) {
-      return notRun(`The link to region ${region} is full`, 1_000);
+      return notRun(`The link to region ${region} is saturated`, 1_000);
     }
     const candidates = listEntries(region)
       .filter((member) => member.failureDomain === domain);
     const start = Math.floor(random() * candidates.length);
-    let last: Outcome = notRun(`No entry of ${domain} took it`, 1_000);
+    let last: Outcome = notRun(
+      `No entry of ${domain} accepted the request`,
+      1_000,
+    );
     for (let index = 0; index < candidates.length; index++) {
       const member = candidates[(start + index) % candidates.length];
       const result = await handOver(member, "run", request);
@@ -314,7 +338,7 @@
     const fleet = agent.config().fleet!.document;
     const vm = fleet.entryVms.find(({ id }) => id === member.vmId);
     if (vm === undefined) {
-      const reason = `No VM is named ${member.vmId}`;
+      const reason = `The fleet document lists no VM ${member.vmId}`;
       return Promise.resolve({ kind: "not_sent", reason });
     }
     const oneWayMs = getDelayMs(fleet, self.region, member.region);
@@ -334,7 +358,10 @@
     return unknown(result.reason);
   }
 
-  /** The caller is told at its deadline; the late answer is still kept. */
+  /**
+   * Resolves as unknown at the deadline. The request goes on, and its late answer
+   * is still stored under its key.
+   */
   function resolveByDeadline(
     pending: Promise<Outcome>,
     request: ForwardRequest,
--- a/src/forwarding/request_forwarder_test.ts
+++ b/src/forwarding/request_forwarder_test.ts
@@ -32,7 +32,11 @@
   serverId: "s-1",
 };
 const answered: Outcome = { kind: "answer", answer };
-const refused: Outcome = { kind: "not_run", reason: "full", retryAfterS: 1 };
+const refused: Outcome = {
+  kind: "not_run",
+  reason: "saturated",
+  retryAfterS: 1,
+};
 
 const document = serviceSchema.parse({
   service: "s",
@@ -84,7 +88,7 @@
   row?: Record<string, number>;
   alive?: string[];
   dead?: string[];
-  /** Age of the figures of the other entry of the own domain, in ms. */
+  /** Age of the load report of the other entry in the own domain, in ms. */
   peerLoadAgeMs?: number;
 }
 
@@ -183,19 +187,19 @@
   });
 }
 
-test("a request of the own failure domain runs here", async () => {
+test("a request routed to the own failure domain runs locally", async () => {
   const { forwarder, peers } = createTestForwarder();
   assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.is(peers.handovers.length, 0);
 });
 
-test("what the own failure domain refuses goes to another of the region", async () => {
+test("a request that the own failure domain refuses goes to another in the region", async () => {
   const { forwarder, peers } = createTestForwarder({ local: refused });
   assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.equal(peers.handovers.map(({ address }) => address), ["a2-x"]);
 });
 
-test("a refusal never sends a request to another region", async () => {
+test("a refused request is never sent to another region", async () => {
   const { forwarder, peers } = createTestForwarder({ local: refused });
   peers.respond = () => ({ kind: "outcome", outcome: refused });
   const outcome = await forwarder.handle(document, makeRequest());
@@ -203,7 +207,7 @@
   assert.not.ok(peers.handovers.some(({ address }) => address === "b1-x"));
 });
 
-test("a lost region's callers are refused at once until the plan moves", async () => {
+test("requests assigned to an unreachable region are refused until the plan changes", async () => {
   const { forwarder, localRuns } = createTestForwarder({
     row: { b1: 1 },
     alive: ["a1-x"],
@@ -213,14 +217,14 @@
   assert.is(localRuns(), 0);
 });
 
-test("a region planned elsewhere is reached over its link", async () => {
+test("a request assigned to another region is handed over across the link", async () => {
   const { forwarder, peers } = createTestForwarder({ row: { b1: 1 } });
   assert.equal(await forwarder.handle(document, makeRequest()), answered);
   assert.is(peers.handovers[0].address, "b1-x");
   assert.is(peers.handovers[0].remainingMs, 1_000 - 60);
 });
 
-test("a full link refuses, and lets pass again as time goes on", async () => {
+test("a saturated link refuses requests until its bucket refills", async () => {
   const { forwarder, clock } = createTestForwarder({ row: { b1: 1 } });
   const send = () =>
     forwarder.handle(document, makeRequest({ body: Buffer.alloc(3_000) }));
@@ -258,7 +262,7 @@
 
 for (const [peerLoadAgeMs, isAsked] of peerLoadAges) {
   const verb = isAsked ? "goes" : "does not go";
-  test(`without a free slot, work ${verb} to a peer last heard ${peerLoadAgeMs} ms ago`, async () => {
+  test(`without a free slot, a request ${verb} to a peer with a load report ${peerLoadAgeMs} ms old`, async () => {
     const alive = ["a1-x", "a1-y"];
     const { forwarder, peers } = createTestForwarder({
       alive,
@@ -270,7 +274,7 @@
   });
 }
 
-test("a repeated key is not run again, its answer is given again", async () => {
+test("a repeated key is not run again; its answer is replayed", async () => {
   const { forwarder, localRuns } = createTestForwarder();
   assert.equal(
     await forwarder.handle(document, makeAtMostOnceRequest("a1-x")),
@@ -283,7 +287,7 @@
   assert.is(localRuns(), 1);
 });
 
-test("a key with another body is refused as not run", async () => {
+test("a key reused with another body is refused as not run", async () => {
   const { forwarder, localRuns } = createTestForwarder();
   await forwarder.handle(document, makeAtMostOnceRequest("a1-x"));
   const other = {
@@ -294,7 +298,7 @@
   assert.is(localRuns(), 1);
 });
 
-test("another entry's key is handed to it, and only it decides", async () => {
+test("a request with another entry's key is handed over to that entry", async () => {
   const { forwarder, peers, localRuns } = createTestForwarder();
   assert.equal(
     await forwarder.handle(document, makeAtMostOnceRequest("a2-x")),
@@ -311,12 +315,12 @@
     () => ({ kind: "not_sent", reason: "" }),
     1,
   ],
-  ["was replaced", {}, () => ({ kind: "outcome", outcome: answered }), 2],
-  ["is cut off", {}, () => ({ kind: "failed", reason: "" }), 1],
+  ["was restarted", {}, () => ({ kind: "outcome", outcome: answered }), 2],
+  ["is unreachable", {}, () => ({ kind: "failed", reason: "" }), 1],
 ];
 
 for (const [name, options, respond, incarnation] of unreachableOwners) {
-  test(`a key whose owner ${name} is unknown, never run`, async () => {
+  test(`a request whose key's owner ${name} is not run: unknown`, async () => {
     const { forwarder, peers, localRuns } = createTestForwarder(options);
     peers.respond = respond;
     const request = makeAtMostOnceRequest("a2-x", incarnation);
@@ -325,7 +329,7 @@
   });
 }
 
-test("a caller is told at its deadline; the late answer is kept", async () => {
+test("the outcome is unknown at the deadline; the late answer is stored", async () => {
   let finish: (outcome: Outcome) => void = () => {};
   const { forwarder, clock } = createTestForwarder({
     local: () => new Promise((resolve) => finish = resolve),
--- a/src/forwarding/retry.ts
+++ b/src/forwarding/retry.ts
@@ -1,39 +1,41 @@
 /**
- * Decides whether a request may be sent again, and keeps retries a small share
- * of the traffic. Pure.
+ * Decides whether a request is retried, and limits retries to a small share of
+ * the traffic. Pure.
  *
- * Source of the budget: "Handling Overload" in the SRE book, and Finagle's
- * retry budget.
+ * The budget follows "Handling Overload" in the SRE book and Finagle's retry
+ * budget.
  *
  * @module
  */
 import type { ExchangeResult } from "./types.ts";
 
-/** Exchanges that one request may take. */
+/** Maximum number of exchanges for one request, retries included. */
 export const MAX_ATTEMPTS = 3;
-/** Retries allowed for each request. */
+/** Retries allowed per request, on average. */
 const RETRY_SHARE = 0.1;
-/** Retries that may be saved up. */
+/** Maximum number of retries that can accumulate. */
 const MAX_SAVED_RETRIES = 50;
 
-/** What to do after an exchange. */
+/** What follows an exchange without an answer: a retry, or the outcome. */
 export type RetryDecision = "retry" | "not_run" | "unknown";
 
-/** An exchange and its circumstances. */
+/** Input of a retry decision. */
 export interface RetryInput {
   result: Exclude<ExchangeResult, { kind: "answer" }>;
   idempotent: boolean;
-  /** Exchanges so far, this one included. */
+  /** Number of exchanges so far, this one included. */
   attempts: number;
   /** Whether an earlier exchange may have run the request. */
   mayHaveRun: boolean;
+  /** Whether the retry budget allows another exchange. */
   hasBudget: boolean;
+  /** Whether enough time is left for another exchange. */
   hasTime: boolean;
 }
 
 /**
- * @param input See there.
- * @returns What to do.
+ * @param input The exchange's result and its context.
+ * @returns Whether to retry, or else the outcome of the request.
  */
 export function decideRetry(input: RetryInput): RetryDecision {
   const provenNotRun = input.result.kind !== "failed";
@@ -44,12 +46,13 @@
   return provenNotRun && !input.mayHaveRun ? "not_run" : "unknown";
 }
 
-/** Retries as a share of requests. */
+/** Limits retries to a share of requests. */
 export interface RetryBudget {
-  /** Counts a request. */
+  /** Counts a request, which adds a fraction of a retry to the budget. */
   recordRequest(): void;
+  /** @returns Whether a retry is allowed. */
   hasBudget(): boolean;
-  /** Counts a retry. */
+  /** Counts a retry, which uses up budget. */
   recordRetry(): void;
 }
 
--- a/src/forwarding/retry_test.ts
+++ b/src/forwarding/retry_test.ts
@@ -35,7 +35,7 @@
   });
 }
 
-test("retries stay a tenth of the requests once the saved ones are spent", () => {
+test("once the saved retries are used up, a tenth of the requests may be retried", () => {
   const budget = createRetryBudget();
   while (budget.hasBudget()) budget.recordRetry();
   let retries = 0;
--- a/src/forwarding/routes.ts
+++ b/src/forwarding/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' request address and the peers' hand-over address.
+ * HTTP routes: requests from callers and hand-overs from other entries.
  *
  * @module
  */
@@ -23,12 +23,12 @@
 
 const log = createLogger("forwarding");
 
-/** Longest deadline that a caller may state, in ms. */
+/** Maximum deadline that a caller may request. */
 const MAX_DEADLINE_MS = 60_000;
 const REQUEST_ID_PATTERN = /^[A-Za-z0-9_.-]{1,64}$/;
 const SERVICE_ROUTE = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface ForwardingRouteOptions {
   agent: ControlAgent;
   forwarder: RequestForwarder;
@@ -37,13 +37,13 @@
   clock: Clock;
 }
 
-/** A request that can't be carried. */
+/** Response to a request that cannot be forwarded. */
 interface RejectedRequest {
   status: number;
   detail: string;
 }
 
-/** A request that can. */
+/** A valid request and its service. */
 interface ParsedRequest {
   document: ServiceDocument;
   request: ForwardRequest;
@@ -52,14 +52,14 @@
 /**
  * Adds `/v1/services/{service}/{path...}` for callers.
  *
- * @param router The callers' router.
- * @param options See there.
+ * @param router Router of the callers' address.
+ * @param options Dependencies.
  */
 export function addCallerRoutes(
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { forwarder: flow, stats: figures } = options;
+  const { forwarder, stats } = options;
   router.all("/v1/services/:service/*", async (request, response) => {
     const parsed = await parseCallerRequest(request, response, options);
     if ("status" in parsed) {
@@ -71,27 +71,27 @@
         retryAfterS: parsed.status === 503 ? 1 : undefined,
       });
     }
-    const { document, request: forward } = parsed;
-    figures.recordArrival(forward.service, forward.callerRegion);
+    const { document, request: forwardRequest } = parsed;
+    stats.recordArrival(forwardRequest.service, forwardRequest.callerRegion);
     const outcome = await toUnknownOnError(() =>
-      flow.handle(document, forward)
+      forwarder.handle(document, forwardRequest)
     );
-    figures.recordOutcome(forward, outcome);
-    sendOutcome(response, forward, outcome);
+    stats.recordOutcome(forwardRequest, outcome);
+    sendOutcome(response, forwardRequest, outcome);
   });
 }
 
 /**
- * Adds the hand-over address for other entries.
+ * Adds the hand-over route for other entries.
  *
- * @param router The peers' router; its key check comes before.
- * @param options See there.
+ * @param router Router of the peer address; it must already check the peer key.
+ * @param options Dependencies.
  */
 export function addHandoverRoute(
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { forwarder: flow } = options;
+  const { forwarder } = options;
   router.post(HANDOVER_PATH, async (request, response) => {
     const parsed = await parseHandover(request, response, options);
     if ("status" in parsed) {
@@ -102,18 +102,18 @@
         retryAfterS: 1,
       });
     }
-    const { document, request: forward } = parsed;
+    const { document, request: forwardRequest } = parsed;
     const isOwner = getHeader(request, HEADERS.mode) === "own";
     const outcome = await toUnknownOnError(() =>
       isOwner
-        ? flow.handle(document, forward)
-        : flow.runLocally(document, forward)
+        ? forwarder.handle(document, forwardRequest)
+        : forwarder.runLocally(document, forwardRequest)
     );
-    sendOutcome(response, forward, outcome);
+    sendOutcome(response, forwardRequest, outcome);
   });
 }
 
-/** A fault of ours leaves open whether the request ran. */
+/** Reports internal errors as unknown, since the request may have run. */
 async function toUnknownOnError(run: () => Promise<Outcome>): Promise<Outcome> {
   try {
     return await run();
@@ -129,7 +129,7 @@
   options: ForwardingRouteOptions,
 ): Promise<ParsedRequest | RejectedRequest> {
   const match = SERVICE_ROUTE.exec(request.originalUrl ?? request.url ?? "");
-  if (match === null) return { status: 404, detail: "Not a service's address" };
+  if (match === null) return { status: 404, detail: "Not a service path" };
   const [, service, path = "/", query = ""] = match;
   const statedId = getHeader(request, HEADERS.requestId);
   const id = statedId ?? createId();
@@ -191,7 +191,7 @@
   if (requestClass === undefined) {
     return {
       status: 404,
-      detail: `No class of requests fits ${method} ${path}`,
+      detail: `No request class matches ${method} ${path}`,
     };
   }
   const timeMs = parseDeadline(request, requestClass);
@@ -257,7 +257,12 @@
   return isValid ? timeMs : undefined;
 }
 
-/** @returns The first class whose method and path fit. */
+/**
+ * @param document Document of the service.
+ * @param method HTTP method of a request.
+ * @param path Path of the request.
+ * @returns The first request class that matches, if any.
+ */
 export function findClass(
   document: ServiceDocument,
   method: string,
@@ -269,8 +274,8 @@
 }
 
 /**
- * The block that the look-up named, else the block of the connection; a client
- * of no known block belongs to this entry's region.
+ * Identifies the client block by the header from the look-up, or else by the
+ * remote address. A client outside all blocks is assigned to this entry's region.
  */
 function identifyClient(
   request: Request,
@@ -288,11 +293,11 @@
 }
 
 /**
- * Sends how a request ended.
+ * Sends the outcome of a request, unless the connection is closed.
  *
- * @param response Where to send it.
- * @param request The request.
- * @param outcome How it ended.
+ * @param response Response to write to.
+ * @param request The request; its id is repeated in a header.
+ * @param outcome How the request ended.
  */
 export function sendOutcome(
   response: ServerResponse,
--- a/src/forwarding/server_limits.ts
+++ b/src/forwarding/server_limits.ts
@@ -1,6 +1,6 @@
 /**
- * Judges backend servers by what is known of them: which may get new work, how
- * much, and how soon they answer. Pure; `servers.ts` keeps what is known.
+ * Decides which backend servers may get new requests and how many, and estimates
+ * their latency. Pure; `server_set.ts` holds the state of the servers.
  *
  * @module
  */
@@ -10,20 +10,20 @@
   type ServerState,
 } from "./server_set.ts";
 
-/** Ejections are ignored where fewer than this share would be left. */
+/** Ejections are ignored if less than this share of servers would remain. */
 const MIN_HEALTHY_SHARE = 0.5;
-/** Observed latency loses half its say after this time without a new one. */
+/** Time in which an observed latency loses half its weight. */
 const LATENCY_HALF_LIFE_MS = 4_000;
-/** A server slower than this many medians gets fewer slots. */
+/** Servers slower than this multiple of the median get fewer slots. */
 const SLOW_LATENCY_FACTOR = 3;
 
 /**
- * Lists servers that may get new work. Ejected ones are included again where
- * too few would be left: then the fault is likely a common one.
+ * Lists the servers that may get new requests. If too few would remain, ejected
+ * servers are included again, since the fault is then likely a common one.
  *
- * @param set The servers.
+ * @param set Servers of the service.
  * @param nowMs Monotonic time, in ms.
- * @returns The servers, full ones included.
+ * @returns The servers, including those without a free slot.
  */
 export function listEligibleServers(
   set: ServerSet,
@@ -39,7 +39,7 @@
   return hasEnoughHealthy ? healthy : available;
 }
 
-/** Behaviour goes before reports: a success after the probe outweighs it. */
+/** A success after a failed probe overrides the probe. */
 function isHealthy(state: ServerState, nowMs: number): boolean {
   if (nowMs < state.ejectedUntilMs) return false;
   const reportedFailing = state.health === "failing" &&
@@ -48,13 +48,13 @@
 }
 
 /**
- * Judges a server's latency: what was observed, drawn towards the median of the
- * others as the observation ages.
+ * Estimates a server's latency: the observed latency, which moves towards the
+ * median of the servers as the observation ages.
  *
- * @param state The server.
+ * @param state State of the server.
  * @param medianMs Median of the servers' observed latencies, in ms.
  * @param nowMs Monotonic time, in ms.
- * @returns Latency to expect, in ms.
+ * @returns Expected latency, in ms.
  */
 export function estimateLatencyMs(
   state: ServerState,
@@ -69,8 +69,8 @@
 }
 
 /**
- * @param states Servers.
- * @param fallbackMs Value where nothing was observed.
+ * @param states States of the servers.
+ * @param fallbackMs Value if no latency was observed, in ms.
  * @returns Median of their observed latencies, in ms.
  */
 export function getMedianLatencyMs(
@@ -83,17 +83,22 @@
   return latenciesMs[Math.floor(latenciesMs.length / 2)] ?? fallbackMs;
 }
 
-/** Circumstances of a limit. */
+/** Input of a limit besides the server. */
 export interface LimitContext {
+  /** Median of the servers' observed latencies, in ms. */
   medianMs: number;
+  /** Monotonic time, in ms. */
   nowMs: number;
 }
 
 /**
+ * Reduces this entry's share of a server's slots while the server is cold, and if
+ * it is slow.
+ *
  * @param set The set that the server belongs to.
- * @param state The server.
- * @param context See there.
- * @returns Requests that it may have in flight from this entry.
+ * @param state State of the server.
+ * @param context Median latency and time.
+ * @returns Maximum number of requests in flight from this entry to the server.
  */
 export function getConcurrencyLimit(
   set: ServerSet,
@@ -117,9 +122,9 @@
 }
 
 /**
- * @param set The servers.
+ * @param set Servers of the service.
  * @param nowMs Monotonic time, in ms.
- * @returns Requests that this entry may have in flight in all.
+ * @returns Maximum number of requests in flight from this entry to all servers.
  */
 export function getTotalConcurrencyLimit(
   set: ServerSet,
--- a/src/forwarding/server_set.ts
+++ b/src/forwarding/server_set.ts
@@ -1,6 +1,6 @@
 /**
- * Backend servers of one service as one entry sees them: limits, what is in
- * flight, how they behave, which take new work. Pure.
+ * State of a service's backend servers in one entry: slot shares, requests in
+ * flight, latency, failures, and whether they are leaving. Pure.
  *
  * @module
  */
@@ -8,70 +8,79 @@
 import type { HealthReport } from "../control/messages.ts";
 import { createMovingMean, type MovingMean } from "../measurement/rate.ts";
 
-/** Failures in a row after which a server gets no work for a while. */
+/** Number of consecutive failures after which a server is ejected. */
 const MAX_CONSECUTIVE_FAILURES = 3;
+/** Time of the first ejection; it doubles with each consecutive one. */
 const INITIAL_EJECTION_MS = 1_000;
 const MAX_EJECTION_MS = 30_000;
+/** Weight of the newest latency in the moving mean. */
 const LATENCY_SMOOTHING_FACTOR = 0.2;
-/** Age at which a probe no longer says anything. */
+/** Age from which a probe or a leaving signal is ignored. */
 export const PROBE_EXPIRY_MS = 5_000;
 
-/** Time for a document to be in force everywhere, and for requests to end. */
+/**
+ * Delay before a larger share is used: the document must reach all entries, and
+ * their requests in flight must end.
+ */
 export const SHARE_INCREASE_DELAY_MS = 15_000;
 
-/** Why a server takes no new work. */
+/** Why a server gets no new requests. */
 export type LeavingReason = "document" | "vm_list" | "health" | "answer";
 
-/** One backend server. */
+/** State of one backend server. */
 export interface ServerState {
   server: BackendServer;
   /** This entry's share of its slots. */
   share: number;
-  /** A larger share by the documents, and when it may be used. */
+  /** A larger share according to the documents, and when it takes effect. */
   pendingShare: { share: number; fromMs: number } | undefined;
   inFlight: number;
+  /** Mean latency of successful exchanges, in ms. */
   latency: MovingMean;
   latencyAtMs: number;
+  /** Consecutive failures. */
   failures: number;
   consecutiveEjections: number;
   ejectedUntilMs: number;
-  /** It asked for rest until then. */
+  /** End of the time in which the server asked for no requests. */
   backoffUntilMs: number;
-  /** When it began to take work after being away; undefined: long ago. */
+  /** Start of the cold ramp; undefined if the server was there from the start. */
   coldSinceMs: number | undefined;
   health: HealthReport["state"];
   healthAtMs: number;
+  /** Utilization that the server's health answer reports, 0 to 1. */
   reportedUse: number;
   lastSuccessMs: number;
   leaving: LeavingReason | undefined;
   leavingSinceMs: number;
-  /** Time from the start of leaving until nothing was in flight. */
+  /** Time from the start of leaving until no request was in flight, in ms. */
   drainMs: number | undefined;
 }
 
-/** All servers of a service in one failure domain. */
+/** Servers of one service in one failure domain. */
 export interface ServerSet {
   document: ServiceDocument;
   servers: Map<string, ServerState>;
-  /** Whether servers were synchronised before: later ones are cold. */
+  /** Whether the set was synchronized before; servers added later are cold. */
   hasSynced: boolean;
 }
 
-/** Which part of each server's slots belongs to an entry. */
+/** Position of an entry in its failure domain; determines its slot shares. */
 export interface EntryPosition {
-  /** Position of the entry among its failure domain's, from 0. */
+  /** Index of the entry, from 0. */
   index: number;
+  /** Number of entries; Infinity for an entry that must get no slots. */
   count: number;
 }
 
 /**
- * Splits slots among the entries of a failure domain by the documents alone:
- * the parts add up to the whole with no messages.
+ * Splits a server's slots among the entries of a failure domain by the documents
+ * alone, so that the shares add up without messages between entries.
  *
- * @param slots Slots of the server.
- * @param serverIndex Position of the server, so that remainders spread.
- * @param entry Which entry asks.
- * @returns Its slots.
+ * @param slots Number of slots of the server.
+ * @param serverIndex Index of the server; spreads remainders over the entries.
+ * @param entry Position of the entry.
+ * @returns The entry's number of slots.
  */
 export function getSlotShare(
   slots: number,
@@ -81,27 +90,32 @@
   return Math.floor((slots + (index + serverIndex) % count) / count);
 }
 
-/** @returns A set that knows no server yet. */
+/**
+ * @param document Document of the service.
+ * @returns A set without servers.
+ */
 export function createServerSet(document: ServiceDocument): ServerSet {
   return { document, servers: new Map(), hasSynced: false };
 }
 
-/** Circumstances of a synchronisation. */
+/** Input of a synchronization besides the document. */
 export interface SyncContext {
+  /** The entry's own failure domain. */
   failureDomain: string;
   entry: EntryPosition;
-  /** Why a server must leave, if it must. */
+  /** @returns Why a server must leave; undefined if it need not. */
   getLeavingReason(server: BackendServer): LeavingReason | undefined;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
 
 /**
- * Brings a set in line with the document in force.
+ * Updates a set to the current document. Servers that the document no longer
+ * lists are removed once they have no request in flight.
  *
  * @param set Changed in place.
- * @param document The document in force.
- * @param context See there.
+ * @param document Current document of the service.
+ * @param context The entry's position, leaving servers and the time.
  */
 export function syncServers(
   set: ServerSet,
@@ -132,8 +146,8 @@
 }
 
 /**
- * A share shrinks at once and grows late: until then another entry may not have
- * heard of the document, or still have requests at the server.
+ * Reduces a share at once and increases it only after a delay: until then, other
+ * entries may not have the document yet, or still have requests at the server.
  */
 function updateShare(state: ServerState, share: number, nowMs: number): void {
   if (share <= state.share) {
@@ -193,10 +207,10 @@
 }
 
 /**
- * Stops new work for a server.
+ * Marks a server as leaving, so that it gets no new requests.
  *
  * @param state Changed in place.
- * @param reason Who said that it leaves.
+ * @param reason Source of the information.
  * @param nowMs Monotonic time, in ms.
  */
 export function markLeaving(
@@ -212,11 +226,11 @@
 }
 
 /**
- * Stops new work for a server until it has rested; of several ends the latest
- * holds.
+ * Sends a server no new requests for a time. If several backoff times overlap, the
+ * latest end counts.
  *
  * @param state Changed in place.
- * @param backoffMs For how long it wants no more.
+ * @param backoffMs Backoff time that the server asked for, in ms.
  * @param nowMs Monotonic time, in ms.
  */
 export function markBackoff(
@@ -228,10 +242,10 @@
 }
 
 /**
- * Takes in a probe.
+ * Records the result of a health probe, unless a newer one is known.
  *
  * @param set Changed in place.
- * @param report The probe.
+ * @param report Result of the probe.
  * @param nowMs Monotonic time, in ms.
  */
 export function recordHealth(
@@ -252,7 +266,7 @@
 }
 
 /**
- * Counts a request that goes to a server.
+ * Counts a request sent to a server.
  *
  * @param state Changed in place.
  */
@@ -260,8 +274,9 @@
   state.inFlight += 1;
 }
 
-/** How an exchange went, for judging the server. */
+/** Result of an exchange, as recorded in the server's state. */
 export interface ExchangeSummary {
+  /** Whether the server behaved correctly; refusals count as correct. */
   ok: boolean;
   durationMs: number;
   /** Monotonic time, in ms. */
@@ -269,10 +284,10 @@
 }
 
 /**
- * Counts a request that came back from a server.
+ * Records the end of an exchange with a server.
  *
  * @param state Changed in place.
- * @param report How it went.
+ * @param report Result of the exchange.
  */
 export function endRequest(
   state: ServerState,
--- a/src/forwarding/server_set_test.ts
+++ b/src/forwarding/server_set_test.ts
@@ -65,7 +65,7 @@
   return set;
 }
 
-test("entries' shares add up to a server's slots, whatever the numbers", () => {
+test("the shares of all entries add up to a server's slots", () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 200 }),
@@ -83,7 +83,7 @@
   );
 });
 
-test("a share shrinks at once and grows only after other entries let go", () => {
+test("a share is reduced at once and increased only after a delay", () => {
   const document = makeDocument(1);
   const set = createServerSet(document);
   const shareAt = (nowMs: number, count: number) => {
@@ -102,11 +102,11 @@
   assert.is(shareAt(2_000 + SHARE_INCREASE_DELAY_MS, 1), 4);
 });
 
-test("a VM that the fleet does not list has no slots", () => {
+test("an entry that the fleet document does not list gets no slots", () => {
   assert.is(getSlotShare(8, 0, { index: 0, count: Infinity }), 0);
 });
 
-test("a server that fails in a row is ejected, then let back slowly", () => {
+test("a server is ejected after consecutive failures, then ramps up", () => {
   const set = makeSet(4);
   const state = set.servers.get("s-0")!;
   for (let count = 0; count < 3; count++) {
@@ -119,7 +119,7 @@
   assert.is(limit, 1);
 });
 
-test("a common fault does not eject everything", () => {
+test("a fault common to all servers ejects none of them", () => {
   const set = makeSet(4);
   for (const state of set.servers.values()) {
     for (let count = 0; count < 3; count++) {
@@ -130,7 +130,7 @@
   assert.is(listEligibleServers(set, 101).length, 4);
 });
 
-test("a report of failure counts until behaviour contradicts it", () => {
+test("a failed probe counts until a request succeeds", () => {
   const set = makeSet(4);
   const report = { serverId: "s-0", reportedUse: 0, ageMs: 0 };
   recordHealth(set, { ...report, state: "failing" }, 100);
@@ -141,7 +141,7 @@
   assert.is(listEligibleServers(set, 151).length, 4);
 });
 
-test("a slow server gets fewer slots, and more again as its record ages", () => {
+test("a slow server gets fewer slots, and more as its observed latency ages", () => {
   const set = makeSet(4);
   for (const state of set.servers.values()) {
     const durationMs = state.server.id === "s-0" ? 500 : 50;
@@ -179,7 +179,7 @@
 ];
 
 for (const [name, leave] of leaveCases) {
-  test(`a server leaves by ${name}: no new work, what runs is kept`, () => {
+  test(`a server leaving by ${name} gets no new requests and finishes running ones`, () => {
     const set = makeSet(4);
     const state = set.servers.get("s-0")!;
     beginRequest(state);
@@ -195,7 +195,7 @@
   });
 }
 
-test("a server that joins later or returns starts cold", () => {
+test("a server added later starts cold and ramps up", () => {
   const set = makeSet(2);
   sync(set, makeDocument(3), 1_000);
   const joined = set.servers.get("s-2")!;
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -1,5 +1,5 @@
 /**
- * Requests on their way and how they end.
+ * Types of forwarded requests and their outcomes.
  *
  * @module
  */
@@ -7,59 +7,62 @@
 import type { RequestClass } from "../config/schema.ts";
 import type { IdempotencyKey } from "./keys.ts";
 
-/** A caller's request, whole. */
+/** A caller's request with its whole body. */
 export interface ForwardRequest {
-  /** Unique; answers are matched to it. */
+  /** Unique id; an answer must carry the same id. */
   id: string;
   service: string;
   requestClass: RequestClass;
   method: string;
-  /** Path and query at the backend server. */
+  /** Path and query sent to the backend server. */
   path: string;
   contentType: string | undefined;
   body: Buffer;
-  /** Monotonic time of the latest useful answer, in ms. */
+  /** Monotonic time after which an answer is useless, in ms. */
   deadlineMs: number;
   /** Set on requests that must run at most once. */
   key: IdempotencyKey | undefined;
-  /** The client's block; decides the place. */
+  /** The client's address block; determines region and failure domain. */
   block: string;
   callerRegion: string;
-  /** Entries that handed it over so far. */
+  /** Number of hand-overs so far. */
   hops: number;
-  /** Aborted when the caller hangs up. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal;
 }
 
-/** A backend server's answer, whole. */
+/** A backend server's answer with its whole body. */
 export interface Answer {
   status: number;
   contentType: string | undefined;
   body: Buffer;
-  /** Backend server that gave it. */
+  /** Id of the backend server. */
   serverId: string;
 }
 
 /** How a request ended. */
 export type Outcome =
   | { kind: "answer"; answer: Answer }
-  /** Proven: no backend server ran it. */
+  /** Provably, no backend server ran the request. */
   | { kind: "not_run"; reason: string; retryAfterS: number }
-  /** It may have run. */
+  /** A backend server may have run the request. */
   | { kind: "unknown"; reason: string; retryAfterS: number };
 
 /** How one exchange with a backend server or another entry ended. */
 export type ExchangeResult =
-  /** `leaving`: the server takes no more work at all. */
+  /** A complete answer; `leaving` if the server accepts no more work. */
   | { kind: "answer"; answer: Answer; leaving?: boolean }
-  /** It refused before running, and wants nothing from this entry for a time. */
+  /**
+   * The server refused the request without running it, and may ask this entry to
+   * send none for `backoffMs`.
+   */
   | { kind: "shed"; leaving: boolean; backoffMs?: number }
   /** Nothing was sent. */
   | { kind: "not_sent"; reason: string }
-  /** Something was sent, and no whole answer of this request came. */
+  /** At least a part was sent, and no complete answer to it arrived. */
   | { kind: "failed"; reason: string };
 
-/** Headers between callers, entries and backend servers. */
+/** Names of the headers between callers, entries and backend servers. */
 export const HEADERS = {
   requestId: "hawthorngw-request-id",
   deadlineMs: "hawthorngw-deadline-ms",
