--- a/src/forwarding/entry_stats.ts
+++ b/src/forwarding/entry_stats.ts
@@ -45,7 +45,7 @@
    * @param outcome How it ended.
    */
   recordOutcome(request: ForwardRequest, outcome: Outcome): void;
-  /** @returns The entry's load; rates cover the time since the last call. */
+  /** @returns The entry's load; updates its rates by the arrivals since the last call. */
   read(): EntryLoad;
   /** @returns Outcomes by kind. */
   counts(): OutcomeCounts;
@@ -116,19 +116,21 @@
     read() {
       let usedSlots = 0;
       let totalSlots = 0;
-      const loads = runner.listServiceQueues().map((queue): ServiceLoad => {
-        const { service } = queue.set.document;
-        const limit = queue.limit();
-        usedSlots += queue.queue.pending + queue.queue.size;
-        totalSlots += limit;
-        return {
-          service,
-          usableSlots: limit,
-          inFlight: queue.inFlight(),
-          serviceMs: queue.serviceMs.value(),
-          ...readServiceStats(service),
-        };
-      });
+      const loads = runner.listServiceQueues().map(
+        (serviceQueue): ServiceLoad => {
+          const { service } = serviceQueue.set.document;
+          const limit = serviceQueue.limit();
+          usedSlots += serviceQueue.queue.pending + serviceQueue.queue.size;
+          totalSlots += limit;
+          return {
+            service,
+            usableSlots: limit,
+            inFlight: serviceQueue.inFlight(),
+            serviceMs: serviceQueue.serviceMs.value(),
+            ...readServiceStats(service),
+          };
+        },
+      );
       return {
         entryId: self.id,
         failureDomain: self.failureDomain,
--- a/src/forwarding/exchange_cancellation.ts
+++ b/src/forwarding/exchange_cancellation.ts
@@ -1,7 +1,7 @@
 /**
  * Cancels an exchange at its deadline or when the caller disconnects. Requests
- * that must run at most once are not cancelled by either, so that a late answer
- * can still be stored under their idempotency key.
+ * that must run at most once go on after a disconnect and for some time after the
+ * deadline, so that a late answer can still be stored under their key.
  *
  * @module
  */
--- a/src/forwarding/key_registry_test.ts
+++ b/src/forwarding/key_registry_test.ts
@@ -32,12 +32,12 @@
 
 const notRun: Outcome = {
   kind: "not_run",
-  reason: "saturated",
+  reason: "full",
   retryAfterS: 1,
 };
 const unknown: Outcome = {
   kind: "unknown",
-  reason: "disconnected",
+  reason: "cut",
   retryAfterS: 1,
 };
 
--- a/src/forwarding/local_runner.ts
+++ b/src/forwarding/local_runner.ts
@@ -88,8 +88,7 @@
  * @returns A runner without any service queue.
  */
 export function createLocalRunner(options: LocalRunnerOptions): LocalRunner {
-  const { clock, random, backends, policy, poisonRequests: poisonRequests } =
-    options;
+  const { clock, random, backends, policy, poisonRequests } = options;
   const { notRun, unknown } = createOutcomeFactory(random);
   const serviceQueues = new Map<string, ServiceQueue>();
   const retryBudget: RetryBudget = createRetryBudget();
--- a/src/forwarding/poison_requests.ts
+++ b/src/forwarding/poison_requests.ts
@@ -1,5 +1,6 @@
 /**
- * Quarantines requests under which this entry saw backend servers crash.
+ * Quarantines requests that were running when this entry saw backend servers
+ * crash.
  *
  * Without it, a poison request that its caller repeats crashes one server per
  * attempt: with three attempts each, ten arrivals crashed thirty servers. Entries
--- a/src/forwarding/request_forwarder.ts
+++ b/src/forwarding/request_forwarder.ts
@@ -35,7 +35,7 @@
 const MAX_DOMAINS = 3;
 /** Requests are not handed over to peers at or above this utilization. */
 const MAX_PEER_UTILIZATION = 0.85;
-/** A peer's load report is ignored once the next one was missed. */
+/** Older load reports of peers are ignored: the next report was missed. */
 const MAX_LOAD_AGE_MS = LOAD_REFRESH_MS * 1.5;
 /** Approximate size of the headers of a request and its answer, in bytes. */
 const HEADER_BYTES = 900;
@@ -78,7 +78,7 @@
 
 /**
  * @param options Dependencies.
- * @returns A forwarder for the options' entry.
+ * @returns A forwarder for the entry `options.agent.self`.
  */
 export function createRequestForwarder(
   options: RequestForwarderOptions,
@@ -375,5 +375,5 @@
     });
   }
 
-  return { handle: handle, runLocally: runLocally };
+  return { handle, runLocally };
 }
--- a/src/forwarding/request_forwarder_test.ts
+++ b/src/forwarding/request_forwarder_test.ts
@@ -34,7 +34,7 @@
 const answered: Outcome = { kind: "answer", answer };
 const refused: Outcome = {
   kind: "not_run",
-  reason: "saturated",
+  reason: "full",
   retryAfterS: 1,
 };
 
--- a/src/forwarding/routes.ts
+++ b/src/forwarding/routes.ts
@@ -191,7 +191,7 @@
   if (requestClass === undefined) {
     return {
       status: 404,
-      detail: `No request class matches ${method} ${path}`,
+      detail: `No class of the service matches ${method} ${path}`,
     };
   }
   const timeMs = parseDeadline(request, requestClass);
--- a/src/forwarding/server_set.ts
+++ b/src/forwarding/server_set.ts
@@ -35,7 +35,7 @@
   /** A larger share according to the documents, and when it takes effect. */
   pendingShare: { share: number; fromMs: number } | undefined;
   inFlight: number;
-  /** Mean latency of successful exchanges, in ms. */
+  /** Moving mean of the duration of exchanges that count as ok, in ms. */
   latency: MovingMean;
   latencyAtMs: number;
   /** Consecutive failures. */
@@ -44,7 +44,7 @@
   ejectedUntilMs: number;
   /** End of the time in which the server asked for no requests. */
   backoffUntilMs: number;
-  /** Start of the cold ramp; undefined if the server was there from the start. */
+  /** Start of the cold ramp; undefined if the server was in the first document. */
   coldSinceMs: number | undefined;
   health: HealthReport["state"];
   healthAtMs: number;
@@ -276,8 +276,9 @@
 
 /** Result of an exchange, as recorded in the server's state. */
 export interface ExchangeSummary {
-  /** Whether the server behaved correctly; refusals count as correct. */
+  /** Whether the server had no fault; refusals and disconnects are no faults. */
   ok: boolean;
+  /** Duration of the exchange, in ms. */
   durationMs: number;
   /** Monotonic time, in ms. */
   nowMs: number;
