--- a/src/forwarding/request_forwarder_test.ts
+++ b/src/forwarding/request_forwarder_test.ts
@@ -144,11 +144,13 @@
       localRuns += 1;
       return typeof local === "function" ? local() : Promise.resolve(local);
     },
-  } as unknown as LocalRunner;
+  } satisfies Partial<LocalRunner> as unknown as LocalRunner;
   const peers = new FakePeerClient();
   const forwarder = createRequestForwarder({
     agent,
-    steering: { rowFor: () => row } as unknown as Steering,
+    steering: { rowFor: () => row } satisfies Partial<
+      Steering
+    > as unknown as Steering,
     runner,
     peers,
     links: createLinkLimiter(),
