--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -5,12 +5,12 @@
  */
 import { startDaemonCore } from "../daemon/daemon_core.ts";
 import { HttpBackendClient } from "../forwarding/backend_client.ts";
-import { ExpectedLatencyChoice } from "../forwarding/choice.ts";
-import { createDeadlyRequests } from "../forwarding/deadly_requests.ts";
-import { createFigures } from "../forwarding/figures.ts";
-import { createFlow } from "../forwarding/flow.ts";
+import { ExpectedLatencyPolicy } from "../forwarding/balancing_policy.ts";
+import { createPoisonRequestTracker } from "../forwarding/poison_requests.ts";
+import { createEntryStats } from "../forwarding/entry_stats.ts";
+import { createRequestForwarder } from "../forwarding/request_forwarder.ts";
 import { createKeyRegistry } from "../forwarding/key_registry.ts";
-import { createLinkLimiter } from "../forwarding/link_limit.ts";
+import { createLinkLimiter } from "../forwarding/link_limiter.ts";
 import { createLocalRunner } from "../forwarding/local_runner.ts";
 import { HttpPeerClient } from "../forwarding/peer_client.ts";
 import { addCallerRoutes, addHandoverRoute } from "../forwarding/routes.ts";
@@ -58,20 +58,23 @@
   const { agent, steering, metrics } = core;
   const random = createRandom(agent.self.incarnation & SEED_MASK);
   const backends = new HttpBackendClient();
-  const policy = new ExpectedLatencyChoice(random);
-  const poisonRequests = createDeadlyRequests(clock, createCrashCheck(dial));
+  const policy = new ExpectedLatencyPolicy(random);
+  const poisonRequests = createPoisonRequestTracker(
+    clock,
+    createCrashCheck(dial),
+  );
   const runner = createLocalRunner({
     clock,
     random,
     backends,
     policy,
-    deadly: poisonRequests,
+    poisonRequests,
   });
   const peers = new HttpPeerClient(settings.peerKey, core.translate);
   const registry = createKeyRegistry();
-  const stats = createFigures({ self: agent.self, runner, clock, metrics });
+  const stats = createEntryStats({ self: agent.self, runner, clock, metrics });
   const links = createLinkLimiter();
-  const flow = createFlow({
+  const forwarder = createRequestForwarder({
     agent,
     steering,
     runner,
@@ -88,7 +91,13 @@
     outcomes: stats.counts(),
   }));
   const blocks = createBlockTableGetter(agent);
-  const routeOptions = { agent, flow, figures: stats, blocks, clock };
+  const routeOptions = {
+    agent,
+    forwarder,
+    stats,
+    blocks,
+    clock,
+  };
   const callerRouter = createRouter();
   addHandoverRoute(peerRouter, routeOptions);
   addCallerRoutes(callerRouter, routeOptions);
--- a/src/forwarding/backend_client.ts
+++ b/src/forwarding/backend_client.ts
@@ -1,11 +1,11 @@
 /**
- * Exchanges with backend servers.
+ * HTTP client for backend servers.
  *
- * A backend server says that it did not run a request by the header
- * `hawthorngw-outcome: not_run` or by a status that the service's document
- * lists in `shedStatuses`; `Retry-After` adds for how long it wants no more from
- * this entry, `hawthorngw-state: leaving`, with any answer, that it takes no more
- * work.
+ * A backend server reports that it did not run a request with the header
+ * `hawthorngw-outcome: not_run` or with a status that the service's document
+ * lists in `shedStatuses`. In such an answer, `Retry-After` gives the time for
+ * which this entry must send it no requests. With any answer,
+ * `hawthorngw-state: leaving` reports that the server accepts no more work.
  *
  * @module
  */
@@ -18,33 +18,44 @@
 import type { ExchangeResult, ForwardRequest } from "./types.ts";
 import { HEADERS } from "./types.ts";
 
-/** Largest answer that is passed on. */
+/** Maximum size of an answer body, in bytes; larger ones count as failed. */
 export const MAX_ANSWER_BYTES = 4_194_304;
 const CONNECT_TIMEOUT_MS = 500;
-const IDLE_CONNECTION_MS = 4_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 4_000;
 const PROBE_TIMEOUT_MS = 400;
 
-/** One exchange. */
+/** Parameters of one exchange. */
 export interface BackendExchange {
   document: ServiceDocument;
   server: BackendServer;
   request: ForwardRequest;
-  /** Time that the server has, in ms. */
+  /** Time left for the server to answer, in ms; sent as a header. */
   remainingMs: number;
+  /** Aborts the exchange. */
   signal: AbortSignal;
 }
 
-/** How backend servers are reached. */
+/** Client for backend servers. */
 export abstract class BackendClient {
-  /** Sends a request once; never throws. */
+  /**
+   * Sends a request once, without retries. Never rejects.
+   *
+   * @param exchange The request, its server and its time limit.
+   * @returns The answer, or how the exchange failed.
+   */
   abstract exchange(exchange: BackendExchange): Promise<ExchangeResult>;
-  /** Asks a server how it is; never throws. */
+  /**
+   * Requests `/health` from a server. Never rejects.
+   *
+   * @param server The server to probe.
+   * @returns The server's report; `failing` where it does not answer in time.
+   */
   abstract probe(server: BackendServer): Promise<HealthReport>;
-  /** Closes connections to servers that are no longer needed. */
+  /** Closes all connections. */
   abstract close(): Promise<void>;
 }
 
-/** Reaches backend servers over HTTP. */
+/** Sends requests to backend servers over HTTP/1.1, one pool per address. */
 export class HttpBackendClient extends BackendClient {
   readonly #pools = new Map<string, Pool>();
 
@@ -60,7 +71,7 @@
     if (request.contentType) headers["content-type"] = request.contentType;
     if (request.key) headers[HEADERS.idempotencyKey] = request.key.text;
     try {
-      const response = await this.#poolOf(server).request({
+      const response = await this.#getPool(server).request({
         method: request.method as Dispatcher.HttpMethod,
         path: request.path,
         headers,
@@ -79,7 +90,7 @@
 
   override async probe(server: BackendServer): Promise<HealthReport> {
     try {
-      const response = await this.#poolOf(server).request({
+      const response = await this.#getPool(server).request({
         method: "GET",
         path: "/health",
         signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
@@ -111,14 +122,14 @@
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #poolOf(server: BackendServer): Pool {
-    const known = this.#pools.get(server.address);
-    if (known) return known;
+  #getPool(server: BackendServer): Pool {
+    const existing = this.#pools.get(server.address);
+    if (existing) return existing;
     const pool = new Pool(`http://${server.address}`, {
       connections: Math.min(server.slots + 1, server.connections),
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      keepAliveTimeout: IDLE_CONNECTION_MS,
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -133,12 +144,14 @@
   request: ForwardRequest;
 }
 
-/** Only a whole answer that names its request, or names none, is an answer. */
+/**
+ * Accepts an answer only if it is complete and carries the request's id or none.
+ */
 async function readAnswer(
   response: Dispatcher.ResponseData,
   { document, server, request }: AnswerContext,
 ): Promise<ExchangeResult> {
-  const body = await readWhole(response.body);
+  const body = await readBody(response.body);
   if (body === undefined) {
     return { kind: "failed", reason: `${server.id}: answer is too large` };
   }
@@ -174,8 +187,11 @@
   return typeof text === "string" ? parseRetryAfterMs(text) : undefined;
 }
 
-/** undici throws where the body ends before its stated length. */
-async function readWhole(
+/**
+ * Reads a body; undefined where it is too large. undici throws if the body ends
+ * before its stated length.
+ */
+async function readBody(
   body: Dispatcher.ResponseData["body"],
 ): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
--- a/src/forwarding/key_registry.ts
+++ b/src/forwarding/key_registry.ts
@@ -1,18 +1,21 @@
 /**
- * Remembers idempotency keys, so that each is dispatched at most once and its
- * first answer is given again. Pure; memory is bounded.
+ * Registry of idempotency keys: dispatches each key at most once and replays its
+ * first answer. Pure; memory is bounded.
  *
- * Keys of an epoch are forgotten together, and from then on refused by their
- * epoch alone, so forgetting can't let a key run again.
+ * The keys of an epoch are removed together. From then on they are rejected by
+ * their epoch alone, so removing a key cannot cause it to run again.
  *
  * @module
  */
-import { type IdempotencyKey, KEPT_EPOCHS } from "./keys.ts";
+import { type IdempotencyKey, RETAINED_EPOCHS } from "./keys.ts";
 import type { Answer, Outcome } from "./types.ts";
 
-/** Keys remembered at most; beyond, new ones are refused as not run. */
+/** Maximum number of keys; beyond it, new keys are refused as not run. */
 export const MAX_KEYS = 200_000;
-/** Bytes of answers kept at most; beyond, only that they ran is known. */
+/**
+ * Maximum size of all stored answers, in bytes; beyond it, the registry stores
+ * only that a key ran.
+ */
 export const MAX_ANSWER_BYTES = 67_108_864;
 
 type KeyState =
@@ -25,70 +28,74 @@
   current: KeyState;
 }
 
-/** What may be done with a key. */
+/** How to handle a request with a key. */
 export type KeyDecision =
-  /** First use: dispatch it, then call `finish`. */
+  /** First use: dispatch the request, then call `finish`. */
   | { decision: "run" }
-  /** Already dispatched: this is, or will be, its outcome. */
+  /** Already dispatched: `outcome` resolves to its outcome. */
   | { decision: "replay"; outcome: Promise<Outcome> }
-  /** Used before with another method, path or body. */
+  /** Already used with another service, method, path or body. */
   | { decision: "mismatch" }
-  /** Its epoch is no longer, or not yet, accepted: it may have run. */
+  /** Its epoch is too old or too new: the request may have run. */
   | { decision: "expired" }
-  /** No memory for another key. */
+  /** The registry holds its maximum number of keys. */
   | { decision: "full" };
 
-/** The keys of one entry process. */
+/** Registry of the idempotency keys of one entry process. */
 export interface KeyRegistry {
   /**
+   * Registers the use of a key.
+   *
    * @param key A key of this process's incarnation.
-   * @param fingerprint Hash of method, path and body.
-   * @param epoch Current epoch by the wall clock.
-   * @returns What may be done.
+   * @param fingerprint Hash of service, method, path and body.
+   * @param epoch Current key epoch by the wall clock.
+   * @returns How to handle the request.
    */
   begin(key: IdempotencyKey, fingerprint: string, epoch: number): KeyDecision;
   /**
-   * @param key A key whose `begin` said `run`.
+   * Stores the outcome of a key and passes it to waiting repetitions.
+   *
+   * @param key A key for which `begin` returned `run`.
    * @param outcome How its request ended; `not_run` frees the key.
    */
   finish(key: IdempotencyKey, outcome: Outcome): void;
-  /** Keys remembered. */
+  /** @returns Number of keys held. */
   size(): number;
 }
 
-/** Bounds of the memory. */
-export interface RegistryLimits {
+/** Limits of a registry's memory. */
+export interface KeyRegistryLimits {
   maxKeys: number;
   maxAnswerBytes: number;
 }
 
-const DEFAULT_LIMITS: RegistryLimits = {
+const DEFAULT_LIMITS: KeyRegistryLimits = {
   maxKeys: MAX_KEYS,
   maxAnswerBytes: MAX_ANSWER_BYTES,
 };
 
 /**
- * @param limits Bounds of the memory.
+ * @param limits Limits of its memory.
  * @returns An empty registry.
  */
 export function createKeyRegistry(
-  limits: RegistryLimits = DEFAULT_LIMITS,
+  limits: KeyRegistryLimits = DEFAULT_LIMITS,
 ): KeyRegistry {
   const epochs = new Map<number, Map<string, KeyRecord>>();
   let newestEpoch = 0;
   let keyCount = 0;
   let answerBytes = 0;
 
-  /** The newest epoch only rises, also when the wall clock is set back. */
-  function advance(epoch: number): void {
+  /** Never lowers the newest epoch, even if the wall clock is set back. */
+  function expireEpochs(epoch: number): void {
     newestEpoch = Math.max(newestEpoch, epoch);
-    for (const [old, records] of epochs) {
-      if (old >= newestEpoch - KEPT_EPOCHS) continue;
+    for (const [oldEpoch, records] of epochs) {
+      if (oldEpoch >= newestEpoch - RETAINED_EPOCHS) continue;
       keyCount -= records.size;
       for (const { current } of records.values()) {
-        answerBytes -= sizeOf(current);
+        answerBytes -= getAnswerBytes(current);
       }
-      epochs.delete(old);
+      epochs.delete(oldEpoch);
     }
   }
 
@@ -97,22 +104,22 @@
     fingerprint: string,
     epoch: number,
   ): KeyDecision {
-    advance(epoch);
-    const isAccepted = key.epoch >= newestEpoch - KEPT_EPOCHS &&
+    expireEpochs(epoch);
+    const isAccepted = key.epoch >= newestEpoch - RETAINED_EPOCHS &&
       key.epoch <= newestEpoch + 1;
     if (!isAccepted) return { decision: "expired" };
     const records = epochs.get(key.epoch) ?? new Map<string, KeyRecord>();
     epochs.set(key.epoch, records);
-    const known = records.get(key.text);
-    if (known === undefined) {
+    const existing = records.get(key.text);
+    if (existing === undefined) {
       if (keyCount >= limits.maxKeys) return { decision: "full" };
       const current: KeyState = { state: "running", waiting: [] };
       records.set(key.text, { fingerprint, current });
       keyCount += 1;
       return { decision: "run" };
     }
-    if (known.fingerprint !== fingerprint) return { decision: "mismatch" };
-    return { decision: "replay", outcome: replay(known.current) };
+    if (existing.fingerprint !== fingerprint) return { decision: "mismatch" };
+    return { decision: "replay", outcome: replay(existing.current) };
   }
 
   function finish(key: IdempotencyKey, outcome: Outcome): void {
@@ -127,13 +134,13 @@
     } else if (outcome.kind === "unknown") {
       record.current = { state: "unknown", reason: outcome.reason };
     } else {
-      record.current = keepAnswer(outcome.answer);
+      record.current = storeAnswer(outcome.answer);
     }
     if (previous.state !== "running") return;
-    for (const tell of previous.waiting) tell(outcome);
+    for (const resolve of previous.waiting) resolve(outcome);
   }
 
-  function keepAnswer(answer: Answer): KeyState {
+  function storeAnswer(answer: Answer): KeyState {
     const fits = answerBytes + answer.body.length <= limits.maxAnswerBytes;
     if (!fits) return { state: "answered", answer: undefined };
     answerBytes += answer.body.length;
@@ -143,7 +150,7 @@
   return { begin, finish, size: () => keyCount };
 }
 
-function sizeOf(current: KeyState): number {
+function getAnswerBytes(current: KeyState): number {
   if (current.state !== "answered") return 0;
   return current.answer?.body.length ?? 0;
 }
@@ -164,7 +171,7 @@
       }
       return Promise.resolve({
         kind: "unknown",
-        reason: "It ran, but its answer is no longer kept",
+        reason: "The request ran, but its answer is no longer stored",
         retryAfterS: 1,
       });
   }
--- a/src/forwarding/local_runner_test.ts
+++ b/src/forwarding/local_runner_test.ts
@@ -8,44 +8,44 @@
 import { createRandom, type Random } from "../runtime/random.ts";
 import type { CrashCheck } from "../servers/crash_check.ts";
 import { BackendClient, type BackendExchange } from "./backend_client.ts";
-import { ExpectedLatencyChoice } from "./choice.ts";
-import { createDeadlyRequests } from "./deadly_requests.ts";
+import { ExpectedLatencyPolicy } from "./balancing_policy.ts";
+import { createPoisonRequestTracker } from "./poison_requests.ts";
 import { createLocalRunner } from "./local_runner.ts";
-import { markLeaving, syncServers } from "./servers.ts";
+import { markLeaving, syncServers } from "./server_set.ts";
 import type { ExchangeResult, ForwardRequest, Outcome } from "./types.ts";
 
 const SEED = 20261202;
-type Mode =
+type ServerBehavior =
   | "answer"
   | "answer_leaving"
   | "shed"
-  | "shed_resting"
+  | "shed_with_backoff"
   | "not_sent"
-  | "dies_before"
-  | "dies_after";
+  | "crash_before"
+  | "crash_after";
 
-/** Servers that behave as told, and remember what they ran. */
-class FakeBackends extends BackendClient {
+/** Simulates servers with a given behavior, and records what they ran. */
+class FakeBackendClient extends BackendClient {
   readonly runs = new Map<string, number>();
   readonly inFlight = new Map<string, number>();
-  /** Requests that reached each server. */
+  /** Number of requests that reached each server. */
   readonly arrivals = new Map<string, number>();
   peak = 0;
   readonly #clock: FakeClock;
   readonly #random: Random;
-  readonly #modeOf: () => Mode;
+  readonly #nextBehavior: () => ServerBehavior;
 
-  constructor(clock: FakeClock, random: Random, modeOf: () => Mode) {
+  constructor(clock: FakeClock, random: Random, modeOf: () => ServerBehavior) {
     super();
     this.#clock = clock;
     this.#random = random;
-    this.#modeOf = modeOf;
+    this.#nextBehavior = modeOf;
   }
 
   override exchange(exchange: BackendExchange): Promise<ExchangeResult> {
     const { server, request, signal } = exchange;
-    const mode = this.#modeOf();
-    this.#add(server.id, 1);
+    const mode = this.#nextBehavior();
+    this.#addInFlight(server.id, 1);
     const arrived = this.arrivals.get(server.id) ?? 0;
     this.arrivals.set(server.id, arrived + 1);
     const durationMs = 20 + 100 * this.#random();
@@ -53,36 +53,39 @@
       const finish = (result: ExchangeResult) => {
         timer.cancel();
         signal.removeEventListener("abort", onAbort);
-        this.#add(server.id, -1);
+        this.#addInFlight(server.id, -1);
         resolve(result);
       };
       const onAbort = () => {
-        this.#noteRun(request.id);
-        finish({ kind: "failed", reason: "cut off" });
+        this.#recordRun(request.id);
+        finish({ kind: "failed", reason: "aborted" });
       };
       const timer = this.#clock.after(durationMs, () => {
-        finish(this.#end(mode, exchange));
+        finish(this.#respond(mode, exchange));
       });
       signal.addEventListener("abort", onAbort);
     });
   }
 
-  #end(mode: Mode, { server, request }: BackendExchange): ExchangeResult {
+  #respond(
+    mode: ServerBehavior,
+    { server, request }: BackendExchange,
+  ): ExchangeResult {
     switch (mode) {
       case "shed":
         return { kind: "shed", leaving: false };
-      case "shed_resting":
+      case "shed_with_backoff":
         return { kind: "shed", leaving: false, backoffMs: 3_000 };
       case "not_sent":
         return { kind: "not_sent", reason: "refused" };
-      case "dies_before":
+      case "crash_before":
         return { kind: "failed", reason: "reset" };
-      case "dies_after":
-        this.#noteRun(request.id);
+      case "crash_after":
+        this.#recordRun(request.id);
         return { kind: "failed", reason: "reset" };
       case "answer":
       case "answer_leaving": {
-        this.#noteRun(request.id);
+        this.#recordRun(request.id);
         const body = Buffer.from(request.id);
         const serverId = server.id;
         const answer = { status: 200, contentType: undefined, body, serverId };
@@ -92,18 +95,18 @@
     }
   }
 
-  #noteRun(id: string): void {
+  #recordRun(id: string): void {
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
   }
 
-  #add(id: string, change: number): void {
+  #addInFlight(id: string, change: number): void {
     const count = (this.inFlight.get(id) ?? 0) + change;
     this.inFlight.set(id, count);
     this.peak = Math.max(this.peak, count);
   }
 
   override probe(): Promise<HealthReport> {
-    throw new Error("Not probed here");
+    throw new Error("FakeBackendClient does not support probes");
   }
 
   override close(): Promise<void> {
@@ -129,22 +132,31 @@
   ],
 });
 
-function setUp(modeOf: (random: Random) => Mode, seed = SEED) {
+function createTestRunner(
+  modeOf: (random: Random) => ServerBehavior,
+  seed = SEED,
+) {
   const clock = createFakeClock();
   const random = createRandom(seed);
-  const backends = new FakeBackends(clock, random, () => modeOf(random));
-  const policy = new ExpectedLatencyChoice(random);
+  const backends = new FakeBackendClient(clock, random, () => modeOf(random));
+  const policy = new ExpectedLatencyPolicy(random);
   const endCheck: CrashCheck = { check: () => Promise.resolve("ended") };
-  const deadly = createDeadlyRequests(clock, endCheck);
-  const runner = createLocalRunner({ clock, random, backends, policy, deadly });
-  const { set } = runner.line(document);
+  const poisonRequests = createPoisonRequestTracker(clock, endCheck);
+  const runner = createLocalRunner({
+    clock,
+    random,
+    backends,
+    policy,
+    poisonRequests,
+  });
+  const { set } = runner.getServiceQueue(document);
   syncServers(set, document, {
     failureDomain: "a1",
     entry: { index: 0, count: 1 },
-    leavingReason: () => undefined,
+    getLeavingReason: () => undefined,
     nowMs: 0,
   });
-  runner.refresh();
+  runner.updateConcurrency();
   return { clock, backends, runner, set };
 }
 
@@ -173,7 +185,7 @@
   };
 }
 
-/** Lets promises settle between two steps of the clock. */
+/** Advances the clock in steps of 5 ms, and lets promises settle after each. */
 async function advance(clock: FakeClock, durationMs: number): Promise<void> {
   for (let elapsed = 0; elapsed < durationMs; elapsed += 5) {
     clock.advance(5);
@@ -181,7 +193,7 @@
   }
 }
 
-test("under random faults: slots kept, at most once, truthful outcomes", async () => {
+test("under random faults: slot limits, at-most-once and outcomes hold", async () => {
   let requests = 0;
   const kinds: Record<string, number> = {};
   await fc.assert(
@@ -197,13 +209,13 @@
       fc.double({ min: 0, max: 0.6, noNaN: true }),
       fc.nat(1_000_000),
       async (planned, faultShare, seed) => {
-        const faults: Mode[] = [
+        const faults: ServerBehavior[] = [
           "shed",
           "not_sent",
-          "dies_before",
-          "dies_after",
+          "crash_before",
+          "crash_after",
         ];
-        const { clock, backends, runner, set } = setUp(
+        const { clock, backends, runner, set } = createTestRunner(
           (random) =>
             random() < faultShare
               ? faults[Math.floor(random() * faults.length)]
@@ -217,11 +229,14 @@
             results.push({ request, outcome });
           });
           await advance(clock, made.gapMs);
-          runner.refresh();
+          runner.updateConcurrency();
         }
         await advance(clock, 13_000);
         assert.is(results.length, planned.length, "a request has no outcome");
-        assert.ok(backends.peak <= SLOTS, `${backends.peak} at one server`);
+        assert.ok(
+          backends.peak <= SLOTS,
+          `${backends.peak} at one server`,
+        );
         for (const { request, outcome } of results) {
           const runs = backends.runs.get(request.id) ?? 0;
           kinds[outcome.kind] = (kinds[outcome.kind] ?? 0) + 1;
@@ -241,8 +256,8 @@
   assert.ok(kinds.answer > 0 && kinds.not_run > 0 && kinds.unknown > 0);
 });
 
-test("what can't be answered in time is refused at arrival", async () => {
-  const { clock, runner } = setUp(() => "answer");
+test("a request that cannot be answered in time is refused at arrival", async () => {
+  const { clock, runner } = createTestRunner(() => "answer");
   const outcomes: (Outcome["kind"] | "waiting")[] = [];
   for (let index = 0; index < 60; index++) {
     outcomes.push("waiting");
@@ -262,29 +277,29 @@
   assert.not.ok(outcomes.includes("waiting"));
 });
 
-test("a caller that hangs up in the line is not run", async () => {
-  const { clock, runner, backends } = setUp(() => "answer");
+test("a queued request whose caller disconnects is not run", async () => {
+  const { clock, runner, backends } = createTestRunner(() => "answer");
   const options = { clock, idempotent: true, timeMs: 900 };
   for (let index = 0; index < 9; index++) {
     void runner.run(document, makeRequest(`r${index}`, options));
   }
-  const hangUp = new AbortController();
+  const disconnect = new AbortController();
   const request = {
     ...makeRequest("late", options),
-    signal: hangUp.signal,
+    signal: disconnect.signal,
   };
   const run = runner.run(document, request);
-  hangUp.abort();
+  disconnect.abort();
   assert.is((await run).kind, "not_run");
   await advance(clock, 2_000);
   assert.is(backends.runs.get("late"), undefined);
 });
 
-test("a request under which servers end is not sent to further ones", async () => {
-  const { clock, runner, backends } = setUp(() => "dies_after");
+test("a request that crashed three servers is not sent to further ones", async () => {
+  const { clock, runner, backends } = createTestRunner(() => "crash_after");
   for (let index = 0; index < 10; index++) {
     const options = { clock, idempotent: true, timeMs: 900 };
-    const request = { ...makeRequest(`r${index}`, options), path: "/deadly" };
+    const request = { ...makeRequest(`r${index}`, options), path: "/poison" };
     const run = runner.run(document, request);
     await advance(clock, 2_000);
     const { kind } = await run;
@@ -294,10 +309,10 @@
   assert.is(runs, 3);
 });
 
-test("a leaving server gets no new work at once", async () => {
-  const { clock, runner, backends, set } = setUp(() => "answer");
+test("a server marked as leaving gets no new requests", async () => {
+  const { clock, runner, backends, set } = createTestRunner(() => "answer");
   markLeaving(set.servers.get("s-0")!, "document", 0);
-  runner.refresh();
+  runner.updateConcurrency();
   const options = { clock, idempotent: true, timeMs: 900 };
   const runs = Array.from(
     { length: 10 },
@@ -308,9 +323,9 @@
   assert.is(backends.inFlight.get("s-0"), undefined);
 });
 
-/** Runs requests one after the other, and counts what reached each server. */
-async function countArrivals(mode: Mode, requests: number) {
-  const { clock, runner, backends } = setUp(() => mode);
+/** Runs requests one at a time, and counts those that reached each server. */
+async function countArrivals(mode: ServerBehavior, requests: number) {
+  const { clock, runner, backends } = createTestRunner(() => mode);
   const options = { clock, idempotent: true, timeMs: 900 };
   for (let index = 0; index < requests; index++) {
     const run = runner.run(document, makeRequest(`r${index}`, options));
@@ -320,14 +335,14 @@
   return [...backends.arrivals.values()];
 }
 
-test("a server that says with an answer that it leaves gets no new work", async () => {
+test("a server whose answer reports that it is leaving gets no new requests", async () => {
   for (const arrivals of await countArrivals("answer_leaving", 12)) {
     assert.is(arrivals, 1);
   }
 });
 
-test("a server that asks for rest gets no new work in that time", async () => {
-  for (const arrivals of await countArrivals("shed_resting", 3)) {
+test("a server that asks for a backoff gets no requests during it", async () => {
+  for (const arrivals of await countArrivals("shed_with_backoff", 3)) {
     assert.is(arrivals, 1);
   }
 });
--- a/src/forwarding/flow.ts
+++ b/src/forwarding/request_forwarder.ts
@@ -1,12 +1,13 @@
 /**
- * The way of a request through an entry: its key, its place, then the own
- * failure domain's backend servers or another entry.
+ * Forwards requests through an entry: handles the idempotency key, selects a
+ * region and a failure domain, then runs the request on the backend servers of
+ * the entry's own failure domain or hands it over to another entry.
  *
  * @module
  */
 import type { ServiceDocument } from "../config/schema.ts";
 import type { ControlAgent } from "../control/types.ts";
-import { isDomainDrained } from "../draining/logic.ts";
+import { isDomainDrained } from "../draining/drain_status.ts";
 import { LOAD_REFRESH_MS } from "../measurement/state.ts";
 import type { Member } from "../membership/types.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -15,12 +16,12 @@
 import { findLink, getDelayMs } from "../steering/estimate.ts";
 import { pickRegion, rankDomains } from "../steering/place.ts";
 import type { Steering } from "../steering/steering.ts";
-import { createCutOff } from "./cut_off.ts";
+import { createExchangeCancellation } from "./exchange_cancellation.ts";
 import type { KeyRegistry } from "./key_registry.ts";
 import { getKeyEpoch, type IdempotencyKey } from "./keys.ts";
-import type { LinkLimiter } from "./link_limit.ts";
+import type { LinkLimiter } from "./link_limiter.ts";
 import type { LocalRunner } from "./local_runner.ts";
-import { createOutcomeMaker } from "./outcomes.ts";
+import { createOutcomeFactory } from "./outcomes.ts";
 import type {
   HandoverMode,
   HandoverResult,
@@ -28,19 +29,19 @@
 } from "./peer_client.ts";
 import type { ForwardRequest, Outcome } from "./types.ts";
 
-/** Hand-overs that a request may take, from its first entry on. */
+/** Maximum number of hand-overs of a request between entries. */
 const MAX_HOPS = 2;
-/** Failure domains tried for one request. */
+/** Maximum number of failure domains tried for one request. */
 const MAX_DOMAINS = 3;
-/** A peer that uses more than this share of its slots is not handed work. */
-const PEER_HAS_ROOM = 0.85;
-/** Age at which a peer's figures say nothing: one report of them was missed. */
-const PEER_FIGURES_MS = LOAD_REFRESH_MS * 1.5;
-/** Bytes of a request's and an answer's headers, roughly. */
+/** Requests are not handed over to peers at or above this utilization. */
+const MAX_PEER_UTILIZATION = 0.85;
+/** Older load reports of peers are ignored: the next report was missed. */
+const MAX_LOAD_AGE_MS = LOAD_REFRESH_MS * 1.5;
+/** Approximate size of the headers of a request and its answer, in bytes. */
 const HEADER_BYTES = 900;
 
-/** What the flow needs. */
-export interface FlowOptions {
+/** Dependencies of a request forwarder. */
+export interface RequestForwarderOptions {
   agent: ControlAgent;
   steering: Steering;
   runner: LocalRunner;
@@ -51,39 +52,57 @@
   random: Random;
 }
 
-/** Carries requests. */
-export interface Flow {
-  /** Carries a caller's request, or one whose key this entry owns. */
-  carry(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
-  /** Runs a request that another entry placed here. */
-  runHere(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
+/** Forwards requests to backend servers or to other entries. */
+export interface RequestForwarder {
+  /**
+   * Handles a caller's request, or a request handed over because this entry owns
+   * its key.
+   *
+   * @param document Document of the service.
+   * @param request The request.
+   * @returns How the request ended.
+   */
+  handle(document: ServiceDocument, request: ForwardRequest): Promise<Outcome>;
+  /**
+   * Runs a request that another entry routed to this failure domain.
+   *
+   * @param document Document of the service.
+   * @param request The request.
+   * @returns How the request ended.
+   */
+  runLocally(
+    document: ServiceDocument,
+    request: ForwardRequest,
+  ): Promise<Outcome>;
 }
 
 /**
- * @param options See there.
- * @returns The flow.
+ * @param options Dependencies.
+ * @returns A forwarder for the entry `options.agent.self`.
  */
-export function createFlow(options: FlowOptions): Flow {
+export function createRequestForwarder(
+  options: RequestForwarderOptions,
+): RequestForwarder {
   const { agent, steering, runner, peers, links, registry, clock, random } =
     options;
-  const { notRun, unknown } = createOutcomeMaker(random);
+  const { notRun, unknown } = createOutcomeFactory(random);
   const { self } = agent;
 
-  function carry(
+  function handle(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
     const { key } = request;
-    if (key === undefined) return place(document, request);
+    if (key === undefined) return routeToDomain(document, request);
     const isOwn = key.vmId === self.vmId &&
       key.incarnation === self.incarnation;
-    const carried = isOwn
-      ? carryOwn(document, request, key)
-      : askOwner(request, key);
-    return untilDeadline(carried, request);
+    const pending = isOwn
+      ? runOwnKey(document, request, key)
+      : forwardToOwner(request, key);
+    return resolveByDeadline(pending, request);
   }
 
-  function carryOwn(
+  function runOwnKey(
     document: ServiceDocument,
     request: ForwardRequest,
     key: IdempotencyKey,
@@ -93,20 +112,24 @@
         request.body.toString("latin1"),
     );
     const epoch = getKeyEpoch(clock.now().getTime());
-    const decided = registry.begin(key, fingerprint, epoch);
-    switch (decided.decision) {
+    const result = registry.begin(key, fingerprint, epoch);
+    switch (result.decision) {
       case "run":
         return runOnce(document, request, key);
       case "replay":
-        return decided.outcome;
+        return result.outcome;
       case "mismatch":
         return Promise.resolve(
-          notRun("The key was used with another request", 0),
+          notRun("The idempotency key was used with another request", 0),
         );
       case "expired":
-        return Promise.resolve(unknown("The key's epoch is not accepted"));
+        return Promise.resolve(
+          unknown("The epoch of the idempotency key is not accepted"),
+        );
       case "full":
-        return Promise.resolve(notRun("Too many keys are remembered", 5_000));
+        return Promise.resolve(
+          notRun("The idempotency key registry is full", 5_000),
+        );
     }
   }
 
@@ -115,17 +138,17 @@
     request: ForwardRequest,
     key: IdempotencyKey,
   ): Promise<Outcome> {
-    let outcome: Outcome = unknown("It failed inside this entry");
+    let outcome: Outcome = unknown("The entry failed to process the request");
     try {
-      outcome = await place(document, request);
+      outcome = await routeToDomain(document, request);
     } finally {
       registry.finish(key, outcome);
     }
     return outcome;
   }
 
-  /** Only the owner may say anything certain about a key. */
-  async function askOwner(
+  /** Only the entry that owns a key can prove that its request did not run. */
+  async function forwardToOwner(
     request: ForwardRequest,
     key: IdempotencyKey,
   ): Promise<Outcome> {
@@ -134,43 +157,43 @@
       member.incarnation === key.incarnation
     );
     if (owner === undefined || request.hops > 0) {
-      return unknown("The entry that owns the key is gone");
+      return unknown("The entry that owns the key is no longer available");
     }
     const result = await handOver(owner.member, "own", request);
     if (result.kind === "outcome") return result.outcome;
     return unknown(`The entry that owns the key did not answer`);
   }
 
-  function place(
+  function routeToDomain(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
-    const placing = {
+    const placement = {
       service: request.service,
       block: request.block,
       row: steering.getWeightRow(request.service, request.callerRegion),
       regionOf: agent.config().regionOf,
     };
-    const region = pickRegion(placing);
+    const region = pickRegion(placement);
     if (region === undefined) {
       return Promise.resolve(
-        notRun("No region is planned for these callers", 1_000),
+        notRun("No region is assigned to the callers' region", 1_000),
       );
     }
     const domains = listDomains(document, region);
     const ranked = [
-      ...rankDomains(placing, domains.open),
-      ...rankDomains(placing, domains.drained),
+      ...rankDomains(placement, domains.open),
+      ...rankDomains(placement, domains.drained),
     ].slice(0, MAX_DOMAINS);
     if (ranked.length === 0) {
       return Promise.resolve(
-        notRun(`No entry of region ${region} can be reached`, 1_000),
+        notRun(`No entry of region ${region} is reachable`, 1_000),
       );
     }
     return tryDomains(document, request, ranked);
   }
 
-  /** Drained failure domains serve what does not fit elsewhere. */
+  /** Drained failure domains are used only after all others. */
   function listDomains(document: ServiceDocument, region: string) {
     const context = {
       wallMs: clock.now().getTime(),
@@ -195,29 +218,29 @@
     return agent.serving("entry").filter((member) => member.region === region);
   }
 
-  /** Goes on only while it is proven that nothing ran. */
+  /** Tries the next domain only if the request provably did not run. */
   async function tryDomains(
     document: ServiceDocument,
     request: ForwardRequest,
     domains: readonly string[],
   ): Promise<Outcome> {
-    let last: Outcome = notRun("No failure domain took it", 1_000);
+    let last: Outcome = notRun("No failure domain accepted the request", 1_000);
     for (const domain of domains) {
       last = domain === self.failureDomain
-        ? await runHere(document, request)
-        : await sendTo(domain, request);
+        ? await runLocally(document, request)
+        : await sendToDomain(domain, request);
       const hasTime = clock.monotonicMs() < request.deadlineMs;
       if (last.kind !== "not_run" || !hasTime) return last;
     }
     return last;
   }
 
-  async function runHere(
+  async function runLocally(
     document: ServiceDocument,
     request: ForwardRequest,
   ): Promise<Outcome> {
-    if (!runner.hasRoom(document) && request.hops < MAX_HOPS) {
-      const peer = findPeerWithRoom();
+    if (!runner.hasFreeSlot(document) && request.hops < MAX_HOPS) {
+      const peer = findPeerWithCapacity();
       if (peer) {
         const result = await handOver(peer, "run", {
           ...request,
@@ -230,46 +253,54 @@
     return runner.run(document, request);
   }
 
-  /** Work moves to where slots are free; slots never move. */
-  function findPeerWithRoom(): Member | undefined {
+  /**
+   * Finds the least utilized entry of the own failure domain. Requests move to
+   * entries with free slots; the slots of an entry are never lent to others.
+   */
+  function findPeerWithCapacity(): Member | undefined {
     const nowMs = clock.monotonicMs();
     const candidates = agent.serving("entry")
       .filter((member) =>
         member.failureDomain === self.failureDomain && member.id !== self.id
       )
       .flatMap((member) => {
-        const figures = agent.loads().get(member.id);
-        if (!figures || nowMs - figures.receivedMs > PEER_FIGURES_MS) return [];
-        const { utilization } = figures.load;
-        return utilization < PEER_HAS_ROOM ? [{ member, utilization }] : [];
+        const report = agent.loads().get(member.id);
+        if (!report || nowMs - report.receivedMs > MAX_LOAD_AGE_MS) return [];
+        const { utilization } = report.load;
+        return utilization < MAX_PEER_UTILIZATION
+          ? [{ member, utilization }]
+          : [];
       })
       .sort((a, b) => a.utilization - b.utilization);
     return candidates[0]?.member;
   }
 
-  async function sendTo(
+  async function sendToDomain(
     domain: string,
     request: ForwardRequest,
   ): Promise<Outcome> {
     const region = agent.config().regionOf.get(domain) ?? domain;
-    if (!mayCross(region)) {
-      return notRun(`The link to region ${region} is full`, 1_000);
+    if (!hasLinkCapacity(region)) {
+      return notRun(`The link to region ${region} is saturated`, 1_000);
     }
     const candidates = listEntries(region)
       .filter((member) => member.failureDomain === domain);
     const start = Math.floor(random() * candidates.length);
-    let last: Outcome = notRun(`No entry of ${domain} took it`, 1_000);
+    let last: Outcome = notRun(
+      `No entry of ${domain} accepted the request`,
+      1_000,
+    );
     for (let index = 0; index < candidates.length; index++) {
       const member = candidates[(start + index) % candidates.length];
       const result = await handOver(member, "run", request);
       last = toOutcome(result);
       if (result.kind !== "not_sent") break;
     }
-    countLink(region, request, last);
+    countLinkBytes(region, request, last);
     return last;
   }
 
-  function getLinkShare(region: string): number {
+  function getLinkLimitShare(region: string): number {
     const fleet = agent.config().fleet!.document;
     const link = findLink(fleet, self.region, region);
     const { regionOf } = agent.config();
@@ -278,19 +309,25 @@
     return (link?.limitBytesPerS ?? 0) / Math.max(1, vmCount);
   }
 
-  function mayCross(region: string): boolean {
+  function hasLinkCapacity(region: string): boolean {
     if (region === self.region) return true;
-    return links.mayPass(region, getLinkShare(region), clock.monotonicMs());
+    return links.hasCapacity(
+      region,
+      getLinkLimitShare(region),
+      clock.monotonicMs(),
+    );
   }
 
-  function countLink(
+  function countLinkBytes(
     region: string,
     request: ForwardRequest,
     outcome: Outcome,
   ): void {
     if (region === self.region) return;
-    const answered = outcome.kind === "answer" ? outcome.answer.body.length : 0;
-    links.count(region, request.body.length + answered + HEADER_BYTES);
+    const answerBytes = outcome.kind === "answer"
+      ? outcome.answer.body.length
+      : 0;
+    links.count(region, request.body.length + answerBytes + HEADER_BYTES);
   }
 
   function handOver(
@@ -301,18 +338,18 @@
     const fleet = agent.config().fleet!.document;
     const vm = fleet.entryVms.find(({ id }) => id === member.vmId);
     if (vm === undefined) {
-      const reason = `No VM is named ${member.vmId}`;
+      const reason = `The fleet document lists no VM ${member.vmId}`;
       return Promise.resolve({ kind: "not_sent", reason });
     }
-    const wayMs = getDelayMs(fleet, self.region, member.region);
-    const cutOff = createCutOff(request, clock);
+    const oneWayMs = getDelayMs(fleet, self.region, member.region);
+    const cancellation = createExchangeCancellation(request, clock);
     return peers.handOver({
       address: vm.entry.peer,
       mode,
       request,
-      remainingMs: cutOff.remainingMs - 2 * wayMs,
-      signal: cutOff.signal,
-    }).finally(cutOff.release);
+      remainingMs: cancellation.remainingMs - 2 * oneWayMs,
+      signal: cancellation.signal,
+    }).finally(cancellation.release);
   }
 
   function toOutcome(result: HandoverResult): Outcome {
@@ -321,9 +358,12 @@
     return unknown(result.reason);
   }
 
-  /** The caller is told at its deadline; the late answer is still kept. */
-  function untilDeadline(
-    carried: Promise<Outcome>,
+  /**
+   * Resolves as unknown at the deadline. The request goes on, and its late answer
+   * is still stored under its key.
+   */
+  function resolveByDeadline(
+    pending: Promise<Outcome>,
     request: ForwardRequest,
   ): Promise<Outcome> {
     return new Promise((resolve, reject) => {
@@ -331,9 +371,9 @@
         Math.max(0, request.deadlineMs - clock.monotonicMs()),
         () => resolve(unknown("No answer before the deadline")),
       );
-      carried.then(resolve, reject).finally(() => timer.cancel());
+      pending.then(resolve, reject).finally(() => timer.cancel());
     });
   }
 
-  return { carry, runHere };
+  return { handle, runLocally };
 }
--- a/src/forwarding/routes.ts
+++ b/src/forwarding/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' request address and the peers' hand-over address.
+ * HTTP routes: requests from callers and hand-overs from other entries.
  *
  * @module
  */
@@ -15,36 +15,36 @@
 import { getHeader, readBody, sendProblem } from "../runtime/http_server.ts";
 import { createId } from "../runtime/ids.ts";
 import { createLogger } from "../runtime/logger.ts";
-import type { EntryFigures } from "./figures.ts";
-import type { Flow } from "./flow.ts";
+import type { EntryStats } from "./entry_stats.ts";
+import type { RequestForwarder } from "./request_forwarder.ts";
 import { parseKey } from "./keys.ts";
 import { HANDOVER_PATH } from "./peer_client.ts";
 import { type ForwardRequest, HEADERS, type Outcome } from "./types.ts";
 
 const log = createLogger("forwarding");
 
-/** Longest deadline that a caller may state, in ms. */
+/** Maximum deadline that a caller may request. */
 const MAX_DEADLINE_MS = 60_000;
 const REQUEST_ID_PATTERN = /^[A-Za-z0-9_.-]{1,64}$/;
 const SERVICE_ROUTE = /^\/v1\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface ForwardingRouteOptions {
   agent: ControlAgent;
-  flow: Flow;
-  figures: EntryFigures;
+  forwarder: RequestForwarder;
+  stats: EntryStats;
   blocks: () => BlockTable;
   clock: Clock;
 }
 
-/** A request that can't be carried. */
-interface Refusal {
+/** Response to a request that cannot be forwarded. */
+interface RejectedRequest {
   status: number;
   detail: string;
 }
 
-/** A request that can. */
-interface Carried {
+/** A valid request and its service. */
+interface ParsedRequest {
   document: ServiceDocument;
   request: ForwardRequest;
 }
@@ -52,14 +52,14 @@
 /**
  * Adds `/v1/services/{service}/{path...}` for callers.
  *
- * @param router The callers' router.
- * @param options See there.
+ * @param router Router of the callers' address.
+ * @param options Dependencies.
  */
 export function addCallerRoutes(
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { flow, figures } = options;
+  const { forwarder, stats } = options;
   router.all("/v1/services/:service/*", async (request, response) => {
     const parsed = await parseCallerRequest(request, response, options);
     if ("status" in parsed) {
@@ -71,25 +71,27 @@
         retryAfterS: parsed.status === 503 ? 1 : undefined,
       });
     }
-    const { document, request: forward } = parsed;
-    figures.noteArrival(forward.service, forward.callerRegion);
-    const outcome = await runSafely(() => flow.carry(document, forward));
-    figures.noteOutcome(forward, outcome);
-    sendOutcome(response, forward, outcome);
+    const { document, request: forwardRequest } = parsed;
+    stats.recordArrival(forwardRequest.service, forwardRequest.callerRegion);
+    const outcome = await toUnknownOnError(() =>
+      forwarder.handle(document, forwardRequest)
+    );
+    stats.recordOutcome(forwardRequest, outcome);
+    sendOutcome(response, forwardRequest, outcome);
   });
 }
 
 /**
- * Adds the hand-over address for other entries.
+ * Adds the hand-over route for other entries.
  *
- * @param router The peers' router; its key check comes before.
- * @param options See there.
+ * @param router Router of the peer address; it must already check the peer key.
+ * @param options Dependencies.
  */
 export function addHandoverRoute(
   router: Polka,
   options: ForwardingRouteOptions,
 ): void {
-  const { flow } = options;
+  const { forwarder } = options;
   router.post(HANDOVER_PATH, async (request, response) => {
     const parsed = await parseHandover(request, response, options);
     if ("status" in parsed) {
@@ -100,17 +102,19 @@
         retryAfterS: 1,
       });
     }
-    const { document, request: forward } = parsed;
+    const { document, request: forwardRequest } = parsed;
     const isOwner = getHeader(request, HEADERS.mode) === "own";
-    const outcome = await runSafely(() =>
-      isOwner ? flow.carry(document, forward) : flow.runHere(document, forward)
+    const outcome = await toUnknownOnError(() =>
+      isOwner
+        ? forwarder.handle(document, forwardRequest)
+        : forwarder.runLocally(document, forwardRequest)
     );
-    sendOutcome(response, forward, outcome);
+    sendOutcome(response, forwardRequest, outcome);
   });
 }
 
-/** A fault of ours leaves open whether the request ran. */
-async function runSafely(run: () => Promise<Outcome>): Promise<Outcome> {
+/** Reports internal errors as unknown, since the request may have run. */
+async function toUnknownOnError(run: () => Promise<Outcome>): Promise<Outcome> {
   try {
     return await run();
   } catch (cause) {
@@ -123,17 +127,17 @@
   request: Request,
   response: ServerResponse,
   options: ForwardingRouteOptions,
-): Promise<Carried | Refusal> {
+): Promise<ParsedRequest | RejectedRequest> {
   const match = SERVICE_ROUTE.exec(request.originalUrl ?? request.url ?? "");
-  if (match === null) return { status: 404, detail: "Not a service's address" };
+  if (match === null) return { status: 404, detail: "Not a service path" };
   const [, service, path = "/", query = ""] = match;
-  const fromHeader = getHeader(request, HEADERS.requestId);
-  const id = fromHeader ?? createId();
+  const statedId = getHeader(request, HEADERS.requestId);
+  const id = statedId ?? createId();
   if (!REQUEST_ID_PATTERN.test(id)) {
     return { status: 400, detail: `${HEADERS.requestId} is malformed` };
   }
-  const client = findClient(request, options);
-  return await parseCommon(request, response, {
+  const client = identifyClient(request, options);
+  return await parseFields(request, response, {
     options,
     service,
     id,
@@ -148,9 +152,9 @@
   request: Request,
   response: ServerResponse,
   options: ForwardingRouteOptions,
-): Promise<Carried | Refusal> {
+): Promise<ParsedRequest | RejectedRequest> {
   const header = (name: string) => getHeader(request, name) ?? "";
-  return await parseCommon(request, response, {
+  return await parseFields(request, response, {
     options,
     service: header(HEADERS.service),
     id: header(HEADERS.requestId),
@@ -162,7 +166,7 @@
   });
 }
 
-interface CommonParts {
+interface RequestFields {
   options: ForwardingRouteOptions;
   service: string;
   id: string;
@@ -173,12 +177,12 @@
   callerRegion: string;
 }
 
-async function parseCommon(
+async function parseFields(
   request: Request,
   response: ServerResponse,
-  parts: CommonParts,
-): Promise<Carried | Refusal> {
-  const { options, service, method, path } = parts;
+  fields: RequestFields,
+): Promise<ParsedRequest | RejectedRequest> {
+  const { options, service, method, path } = fields;
   const document = options.agent.config().services.get(service)?.document;
   if (document === undefined) {
     return { status: 404, detail: `No service is named "${service}"` };
@@ -187,7 +191,7 @@
   if (requestClass === undefined) {
     return {
       status: 404,
-      detail: `No class of requests fits ${method} ${path}`,
+      detail: `No class of the service matches ${method} ${path}`,
     };
   }
   const timeMs = parseDeadline(request, requestClass);
@@ -216,7 +220,7 @@
   return {
     document,
     request: {
-      id: parts.id,
+      id: fields.id,
       service,
       requestClass,
       method,
@@ -225,15 +229,15 @@
       body,
       deadlineMs,
       key: requestClass.idempotent ? undefined : key,
-      block: parts.block,
-      callerRegion: parts.callerRegion,
-      hops: parts.hops,
-      signal: signalHangUp(response),
+      block: fields.block,
+      callerRegion: fields.callerRegion,
+      hops: fields.hops,
+      signal: createDisconnectSignal(response),
     },
   };
 }
 
-function signalHangUp(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
@@ -253,7 +257,12 @@
   return isValid ? timeMs : undefined;
 }
 
-/** @returns The first class whose method and path fit. */
+/**
+ * @param document Document of the service.
+ * @param method HTTP method of a request.
+ * @param path Path of the request.
+ * @returns The first request class that matches, if any.
+ */
 export function findClass(
   document: ServiceDocument,
   method: string,
@@ -265,29 +274,30 @@
 }
 
 /**
- * The block that the look-up named, else the block of the connection; a client
- * of no known block belongs to this entry's region.
+ * Identifies the client block by the header from the look-up, or else by the
+ * remote address. A client outside all blocks is assigned to this entry's region.
  */
-function findClient(
+function identifyClient(
   request: Request,
   { blocks, agent }: ForwardingRouteOptions,
 ) {
-  const named = getHeader(request, HEADERS.clientBlock)?.split("/")[0];
-  const remote = request.socket.remoteAddress?.replace(/^::ffff:/, "");
-  const address = parseIpv4(named ?? "") ?? parseIpv4(remote ?? "");
+  const statedAddress = getHeader(request, HEADERS.clientBlock)?.split("/")[0];
+  const remoteAddress = request.socket.remoteAddress?.replace(/^::ffff:/, "");
+  const address = parseIpv4(statedAddress ?? "") ??
+    parseIpv4(remoteAddress ?? "");
   const found = address === undefined ? undefined : blocks().find(address);
   return {
-    block: found?.block ?? remote ?? "",
+    block: found?.block ?? remoteAddress ?? "",
     callerRegion: found?.region ?? agent.self.region,
   };
 }
 
 /**
- * Sends how a request ended.
+ * Sends the outcome of a request, unless the connection is closed.
  *
- * @param response Where to send it.
- * @param request The request.
- * @param outcome How it ended.
+ * @param response Response to write to.
+ * @param request The request; its id is repeated in a header.
+ * @param outcome How the request ended.
  */
 export function sendOutcome(
   response: ServerResponse,
--- a/src/forwarding/servers.ts
+++ b/src/forwarding/server_set.ts
@@ -1,6 +1,6 @@
 /**
- * Backend servers of one service as one entry sees them: limits, what is in
- * flight, how they behave, which take new work. Pure.
+ * State of a service's backend servers in one entry: slot shares, requests in
+ * flight, latency, failures, and whether they are leaving. Pure.
  *
  * @module
  */
@@ -8,100 +8,114 @@
 import type { HealthReport } from "../control/messages.ts";
 import { createMovingMean, type MovingMean } from "../measurement/rate.ts";
 
-/** Failures in a row after which a server gets no work for a while. */
-const EJECT_AFTER_FAILURES = 3;
-const FIRST_EJECTION_MS = 1_000;
+/** Number of consecutive failures after which a server is ejected. */
+const MAX_CONSECUTIVE_FAILURES = 3;
+/** Time of the first ejection; it doubles with each consecutive one. */
+const INITIAL_EJECTION_MS = 1_000;
 const MAX_EJECTION_MS = 30_000;
-const LATENCY_WEIGHT = 0.2;
-/** Age at which a probe no longer says anything. */
+/** Weight of the newest latency in the moving mean. */
+const LATENCY_SMOOTHING_FACTOR = 0.2;
+/** Age from which a probe or a leaving signal is ignored. */
 export const PROBE_EXPIRY_MS = 5_000;
 
-/** Time for a document to be in force everywhere, and for requests to end. */
-export const GROWTH_DELAY_MS = 15_000;
+/**
+ * Delay before a larger share is used: the document must reach all entries, and
+ * their requests in flight must end.
+ */
+export const SHARE_INCREASE_DELAY_MS = 15_000;
 
-/** Why a server takes no new work. */
+/** Why a server gets no new requests. */
 export type LeavingReason = "document" | "vm_list" | "health" | "answer";
 
-/** One backend server. */
+/** State of one backend server. */
 export interface ServerState {
   server: BackendServer;
   /** This entry's share of its slots. */
   share: number;
-  /** A larger share by the documents, and when it may be used. */
-  growth: { share: number; fromMs: number } | undefined;
+  /** A larger share according to the documents, and when it takes effect. */
+  pendingShare: { share: number; fromMs: number } | undefined;
   inFlight: number;
+  /** Moving mean of the duration of exchanges that count as ok, in ms. */
   latency: MovingMean;
   latencyAtMs: number;
+  /** Consecutive failures. */
   failures: number;
-  ejections: number;
+  consecutiveEjections: number;
   ejectedUntilMs: number;
-  /** It asked for rest until then. */
+  /** End of the time in which the server asked for no requests. */
   backoffUntilMs: number;
-  /** When it began to take work after being away; undefined: long ago. */
+  /** Start of the cold ramp; undefined if the server was in the first document. */
   coldSinceMs: number | undefined;
   health: HealthReport["state"];
   healthAtMs: number;
+  /** Utilization that the server's health answer reports, 0 to 1. */
   reportedUse: number;
   lastSuccessMs: number;
   leaving: LeavingReason | undefined;
   leavingSinceMs: number;
-  /** Time from the start of leaving until nothing was in flight. */
+  /** Time from the start of leaving until no request was in flight, in ms. */
   drainMs: number | undefined;
 }
 
-/** All servers of a service in one failure domain. */
+/** Servers of one service in one failure domain. */
 export interface ServerSet {
   document: ServiceDocument;
   servers: Map<string, ServerState>;
-  /** Whether servers were synchronised before: later ones are cold. */
-  started: boolean;
+  /** Whether the set was synchronized before; servers added later are cold. */
+  hasSynced: boolean;
 }
 
-/** Which part of each server's slots belongs to an entry. */
-export interface EntryShare {
-  /** Position of the entry among its failure domain's, from 0. */
+/** Position of an entry in its failure domain; determines its slot shares. */
+export interface EntryPosition {
+  /** Index of the entry, from 0. */
   index: number;
+  /** Number of entries; Infinity for an entry that must get no slots. */
   count: number;
 }
 
 /**
- * Splits slots among the entries of a failure domain by the documents alone:
- * the parts add up to the whole with no messages.
+ * Splits a server's slots among the entries of a failure domain by the documents
+ * alone, so that the shares add up without messages between entries.
  *
- * @param slots Slots of the server.
- * @param serverIndex Position of the server, so that remainders spread.
- * @param entry Which entry asks.
- * @returns Its slots.
+ * @param slots Number of slots of the server.
+ * @param serverIndex Index of the server; spreads remainders over the entries.
+ * @param entry Position of the entry.
+ * @returns The entry's number of slots.
  */
 export function getSlotShare(
   slots: number,
   serverIndex: number,
-  { index, count }: EntryShare,
+  { index, count }: EntryPosition,
 ): number {
   return Math.floor((slots + (index + serverIndex) % count) / count);
 }
 
-/** @returns A set that knows no server yet. */
+/**
+ * @param document Document of the service.
+ * @returns A set without servers.
+ */
 export function createServerSet(document: ServiceDocument): ServerSet {
-  return { document, servers: new Map(), started: false };
+  return { document, servers: new Map(), hasSynced: false };
 }
 
-/** Circumstances of a synchronisation. */
+/** Input of a synchronization besides the document. */
 export interface SyncContext {
+  /** The entry's own failure domain. */
   failureDomain: string;
-  entry: EntryShare;
-  /** Why a server must leave, if it must. */
-  leavingReason(server: BackendServer): LeavingReason | undefined;
+  entry: EntryPosition;
+  /** @returns Why a server must leave; undefined if it need not. */
+  getLeavingReason(server: BackendServer): LeavingReason | undefined;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
 
 /**
- * Brings a set in line with the document in force.
+ * Updates a set to the current document. Servers that the document no longer
+ * lists are removed once they have no request in flight.
  *
  * @param set Changed in place.
- * @param document The document in force.
- * @param context See there.
+ * @param document Current document of the service.
+ * @param context The entry's position, leaving servers and the time.
  */
 export function syncServers(
   set: ServerSet,
@@ -109,44 +123,44 @@
   context: SyncContext,
 ): void {
   set.document = document;
-  const own = document.backendServers.filter((server) =>
+  const domainServers = document.backendServers.filter((server) =>
     server.failureDomain === context.failureDomain
   );
-  const ids = new Set(own.map(({ id }) => id));
+  const ids = new Set(domainServers.map(({ id }) => id));
   for (const [id, state] of set.servers) {
     if (ids.has(id)) continue;
     markLeaving(state, "document", context.nowMs);
     if (state.inFlight === 0) set.servers.delete(id);
   }
-  own.forEach((server, index) => {
+  domainServers.forEach((server, index) => {
     const share = getSlotShare(server.slots, index, context.entry);
-    const coldSinceMs = set.started ? context.nowMs : undefined;
+    const coldSinceMs = set.hasSynced ? context.nowMs : undefined;
     const state = set.servers.get(server.id) ??
       createServerState(server, { share, coldSinceMs });
     state.server = server;
     updateShare(state, share, context.nowMs);
     set.servers.set(server.id, state);
-    updateLeaving(state, context.leavingReason(server), context.nowMs);
+    updateLeaving(state, context.getLeavingReason(server), context.nowMs);
   });
-  set.started = true;
+  set.hasSynced = true;
 }
 
 /**
- * A share shrinks at once and grows late: until then another entry may not have
- * heard of the document, or still have requests at the server.
+ * Reduces a share at once and increases it only after a delay: until then, other
+ * entries may not have the document yet, or still have requests at the server.
  */
 function updateShare(state: ServerState, share: number, nowMs: number): void {
   if (share <= state.share) {
     state.share = share;
-    state.growth = undefined;
+    state.pendingShare = undefined;
     return;
   }
-  if (state.growth?.share !== share) {
-    state.growth = { share, fromMs: nowMs + GROWTH_DELAY_MS };
+  if (state.pendingShare?.share !== share) {
+    state.pendingShare = { share, fromMs: nowMs + SHARE_INCREASE_DELAY_MS };
   }
-  if (nowMs < state.growth.fromMs) return;
+  if (nowMs < state.pendingShare.fromMs) return;
   state.share = share;
-  state.growth = undefined;
+  state.pendingShare = undefined;
 }
 
 function createServerState(
@@ -156,12 +170,12 @@
   return {
     server,
     share,
-    growth: undefined,
+    pendingShare: undefined,
     inFlight: 0,
-    latency: createMovingMean(LATENCY_WEIGHT),
+    latency: createMovingMean(LATENCY_SMOOTHING_FACTOR),
     latencyAtMs: 0,
     failures: 0,
-    ejections: 0,
+    consecutiveEjections: 0,
     ejectedUntilMs: 0,
     backoffUntilMs: 0,
     coldSinceMs,
@@ -180,22 +194,23 @@
   reason: LeavingReason | undefined,
   nowMs: number,
 ): void {
-  const told = reason ?? (state.health === "draining" ? "health" : undefined);
-  if (told !== undefined) return markLeaving(state, told, nowMs);
+  const cause = reason ??
+    (state.health === "draining" ? "health" : undefined);
+  if (cause !== undefined) return markLeaving(state, cause, nowMs);
   if (state.leaving === undefined) return;
-  const saidLately = state.leaving === "answer" &&
+  const isRecentSignal = state.leaving === "answer" &&
     nowMs - state.leavingSinceMs < PROBE_EXPIRY_MS;
-  if (saidLately) return;
+  if (isRecentSignal) return;
   state.leaving = undefined;
   state.drainMs = undefined;
   state.coldSinceMs = nowMs;
 }
 
 /**
- * Stops new work for a server.
+ * Marks a server as leaving, so that it gets no new requests.
  *
  * @param state Changed in place.
- * @param reason Who said that it leaves.
+ * @param reason Source of the information.
  * @param nowMs Monotonic time, in ms.
  */
 export function markLeaving(
@@ -211,11 +226,11 @@
 }
 
 /**
- * Stops new work for a server until it has rested; of several ends the latest
- * holds.
+ * Sends a server no new requests for a time. If several backoff times overlap, the
+ * latest end counts.
  *
  * @param state Changed in place.
- * @param backoffMs For how long it wants no more.
+ * @param backoffMs Backoff time that the server asked for, in ms.
  * @param nowMs Monotonic time, in ms.
  */
 export function markBackoff(
@@ -227,13 +242,13 @@
 }
 
 /**
- * Takes in a probe.
+ * Records the result of a health probe, unless a newer one is known.
  *
  * @param set Changed in place.
- * @param report The probe.
+ * @param report Result of the probe.
  * @param nowMs Monotonic time, in ms.
  */
-export function noteHealth(
+export function recordHealth(
   set: ServerSet,
   report: HealthReport,
   nowMs: number,
@@ -251,7 +266,7 @@
 }
 
 /**
- * Counts a request that goes to a server.
+ * Counts a request sent to a server.
  *
  * @param state Changed in place.
  */
@@ -259,23 +274,25 @@
   state.inFlight += 1;
 }
 
-/** How an exchange went, for judging the server. */
-export interface ExchangeReport {
+/** Result of an exchange, as recorded in the server's state. */
+export interface ExchangeSummary {
+  /** Whether the server had no fault; refusals and disconnects are no faults. */
   ok: boolean;
+  /** Duration of the exchange, in ms. */
   durationMs: number;
   /** Monotonic time, in ms. */
   nowMs: number;
 }
 
 /**
- * Counts a request that came back from a server.
+ * Records the end of an exchange with a server.
  *
  * @param state Changed in place.
- * @param report How it went.
+ * @param report Result of the exchange.
  */
 export function endRequest(
   state: ServerState,
-  { ok, durationMs, nowMs }: ExchangeReport,
+  { ok, durationMs, nowMs }: ExchangeSummary,
 ): void {
   state.inFlight -= 1;
   if (state.leaving && state.inFlight === 0 && state.drainMs === undefined) {
@@ -283,17 +300,17 @@
   }
   if (ok) {
     state.failures = 0;
-    state.ejections = 0;
+    state.consecutiveEjections = 0;
     state.lastSuccessMs = nowMs;
     state.latency.add(durationMs);
     state.latencyAtMs = nowMs;
     return;
   }
   state.failures += 1;
-  if (state.failures < EJECT_AFTER_FAILURES) return;
-  const ejectionMs = FIRST_EJECTION_MS * 2 ** state.ejections;
+  if (state.failures < MAX_CONSECUTIVE_FAILURES) return;
+  const ejectionMs = INITIAL_EJECTION_MS * 2 ** state.consecutiveEjections;
   state.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
-  state.ejections += 1;
+  state.consecutiveEjections += 1;
   state.failures = 0;
   state.coldSinceMs = state.ejectedUntilMs;
 }
