--- a/src/admission/admission_control.ts
+++ b/src/admission/admission_control.ts
@@ -40,7 +40,7 @@
 export function decideAdmission(input: AdmissionInput): AdmissionDecision {
   const { remainingMs, serviceMs, limit, inFlight } = input;
   if (limit <= 0) {
-    const reason = "No backend server accepts new requests here";
+    const reason = "No backend server takes new work here";
     return { decision: "refuse", reason, waitMs: serviceMs };
   }
   const waitMs = estimateWaitMs(input);
@@ -49,7 +49,7 @@
   if (neededMs <= remainingMs || canStartNow && serviceMs < remainingMs) {
     return { decision: "admit", waitMs };
   }
-  const reason = "The request cannot be answered before its deadline";
+  const reason = "It can't be answered before its deadline";
   return { decision: "refuse", reason, waitMs };
 }
 
--- a/src/forwarding/key_registry.ts
+++ b/src/forwarding/key_registry.ts
@@ -171,7 +171,7 @@
       }
       return Promise.resolve({
         kind: "unknown",
-        reason: "The request ran, but its answer is no longer stored",
+        reason: "It ran, but its answer is no longer kept",
         retryAfterS: 1,
       });
   }
--- a/src/forwarding/local_runner.ts
+++ b/src/forwarding/local_runner.ts
@@ -129,7 +129,7 @@
     const fingerprint = poisonRequests.name(request);
     const retryAfterMs = poisonRequests.getRetryAfterMs(fingerprint);
     if (retryAfterMs !== undefined) {
-      const reason = "Backend servers crashed while running this request";
+      const reason = "Backend servers ended while they ran this request";
       return Promise.resolve(notRun(reason, retryAfterMs));
     }
     const { weight } = request.requestClass;
@@ -177,7 +177,7 @@
       });
     } catch (cause) {
       if (!waitAbort.signal.aborted) throw cause;
-      return notRun("No slot became free in time", serviceMs);
+      return notRun("Its time ran out before a slot was free", serviceMs);
     } finally {
       releaseWait();
     }
@@ -331,7 +331,7 @@
 ): string {
   switch (result.kind) {
     case "shed":
-      return "The backend server refused the request without running it";
+      return "The backend server refused it before running it";
     case "not_sent":
     case "failed":
       return result.reason;
--- a/src/forwarding/request_forwarder.ts
+++ b/src/forwarding/request_forwarder.ts
@@ -120,15 +120,15 @@
         return result.outcome;
       case "mismatch":
         return Promise.resolve(
-          notRun("The idempotency key was used with another request", 0),
+          notRun("The key was used with another request", 0),
         );
       case "expired":
         return Promise.resolve(
-          unknown("The epoch of the idempotency key is not accepted"),
+          unknown("The key's epoch is not accepted"),
         );
       case "full":
         return Promise.resolve(
-          notRun("The idempotency key registry is full", 5_000),
+          notRun("Too many keys are remembered", 5_000),
         );
     }
   }
@@ -138,7 +138,7 @@
     request: ForwardRequest,
     key: IdempotencyKey,
   ): Promise<Outcome> {
-    let outcome: Outcome = unknown("The entry failed to process the request");
+    let outcome: Outcome = unknown("It failed inside this entry");
     try {
       outcome = await routeToDomain(document, request);
     } finally {
@@ -157,7 +157,7 @@
       member.incarnation === key.incarnation
     );
     if (owner === undefined || request.hops > 0) {
-      return unknown("The entry that owns the key is no longer available");
+      return unknown("The entry that owns the key is gone");
     }
     const result = await handOver(owner.member, "own", request);
     if (result.kind === "outcome") return result.outcome;
@@ -177,7 +177,7 @@
     const region = pickRegion(placement);
     if (region === undefined) {
       return Promise.resolve(
-        notRun("No region is assigned to the callers' region", 1_000),
+        notRun("No region is planned for these callers", 1_000),
       );
     }
     const domains = listDomains(document, region);
@@ -187,7 +187,7 @@
     ].slice(0, MAX_DOMAINS);
     if (ranked.length === 0) {
       return Promise.resolve(
-        notRun(`No entry of region ${region} is reachable`, 1_000),
+        notRun(`No entry of region ${region} can be reached`, 1_000),
       );
     }
     return tryDomains(document, request, ranked);
@@ -224,7 +224,7 @@
     request: ForwardRequest,
     domains: readonly string[],
   ): Promise<Outcome> {
-    let last: Outcome = notRun("No failure domain accepted the request", 1_000);
+    let last: Outcome = notRun("No failure domain took it", 1_000);
     for (const domain of domains) {
       last = domain === self.failureDomain
         ? await runLocally(document, request)
@@ -281,13 +281,13 @@
   ): Promise<Outcome> {
     const region = agent.config().regionOf.get(domain) ?? domain;
     if (!hasLinkCapacity(region)) {
-      return notRun(`The link to region ${region} is saturated`, 1_000);
+      return notRun(`The link to region ${region} is full`, 1_000);
     }
     const candidates = listEntries(region)
       .filter((member) => member.failureDomain === domain);
     const start = Math.floor(random() * candidates.length);
     let last: Outcome = notRun(
-      `No entry of ${domain} accepted the request`,
+      `No entry of ${domain} took it`,
       1_000,
     );
     for (let index = 0; index < candidates.length; index++) {
@@ -338,7 +338,7 @@
     const fleet = agent.config().fleet!.document;
     const vm = fleet.entryVms.find(({ id }) => id === member.vmId);
     if (vm === undefined) {
-      const reason = `The fleet document lists no VM ${member.vmId}`;
+      const reason = `No VM is named ${member.vmId}`;
       return Promise.resolve({ kind: "not_sent", reason });
     }
     const oneWayMs = getDelayMs(fleet, self.region, member.region);
--- a/src/forwarding/routes.ts
+++ b/src/forwarding/routes.ts
@@ -129,7 +129,7 @@
   options: ForwardingRouteOptions,
 ): Promise<ParsedRequest | RejectedRequest> {
   const match = SERVICE_ROUTE.exec(request.originalUrl ?? request.url ?? "");
-  if (match === null) return { status: 404, detail: "Not a service path" };
+  if (match === null) return { status: 404, detail: "Not a service's address" };
   const [, service, path = "/", query = ""] = match;
   const statedId = getHeader(request, HEADERS.requestId);
   const id = statedId ?? createId();
@@ -191,7 +191,7 @@
   if (requestClass === undefined) {
     return {
       status: 404,
-      detail: `No class of the service matches ${method} ${path}`,
+      detail: `No class of requests fits ${method} ${path}`,
     };
   }
   const timeMs = parseDeadline(request, requestClass);
--- a/src/load/runner.ts
+++ b/src/load/runner.ts
@@ -83,7 +83,7 @@
   ): Promise<CallResult> {
     return new Promise((resolve) => {
       const timer = clock.after(timeoutMs, () => {
-        const reason = "No result within the grace period after the deadline";
+        const reason = "No result long after the deadline";
         resolve({
           kind: "unknown",
           reason,
--- a/src/lookup/routes.ts
+++ b/src/lookup/routes.ts
@@ -60,7 +60,7 @@
   function refuse(response: ServerResponse, status: number, detail: string) {
     sendProblem(response, {
       status,
-      title: status === 503 ? "No entry available" : "Invalid lookup",
+      title: status === 503 ? "No entry available" : "Bad look-up",
       detail,
       outcome: "not_run",
       retryAfterS: status === 503 ? 1 : undefined,
@@ -84,11 +84,11 @@
     const text = request.query.client ?? request.socket.remoteAddress ?? "";
     const address = parseIpv4(String(text).replace(/^::ffff:/, ""));
     if (address === undefined) {
-      return refuse(response, 400, `client="${text}" is not an IPv4 address`);
+      return refuse(response, 400, `client="${text}" is not an IPv4 number`);
     }
     const client = getBlockTable().find(address);
     if (client === undefined) {
-      return refuse(response, 404, `No client block contains ${text}`);
+      return refuse(response, 404, `No client block holds ${text}`);
     }
     const answer = answerLookup({
       document: inForce.document,
--- a/src/quarantine/poison_request_test.ts
+++ b/src/quarantine/poison_request_test.ts
@@ -37,7 +37,7 @@
  * Distinct harmless requests; some repeat within a second, others never do.
  */
 const HARMLESS_KEYS = 4_000;
-const POISON = "poison";
+const POISON = "deadly";
 
 interface TestServer {
   startCount: number;
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -94,8 +94,8 @@
     if (!faults.down) return next();
     sendProblem(response, {
       status: 503,
-      title: "Service unavailable",
-      detail: 'The fault "down" is set on the stand-in',
+      title: "Out of service",
+      detail: "The stand-in was told to be down",
     });
   }
 
