--- a/src/runtime/settings.ts
+++ b/src/runtime/settings.ts
@@ -14,19 +14,27 @@
   vmId: z.string().min(1).describe("Id of the VM in the fleet document"),
   failureDomain: z.string().min(1).describe("Failure domain of the VM"),
   region: z.string().min(1).describe("Region of the VM"),
-  callerAddress: addressSchema.describe("Where callers connect"),
-  peerAddress: addressSchema.describe("Where other processes connect"),
-  operatorAddress: addressSchema.describe("Where operators connect"),
-  platformUrl: z.url().describe("Where the platform's services listen"),
-  peerKey: z.string().min(16).describe("Key of links between processes"),
-  operatorKey: z.string().min(16).describe("Key of operator endpoints"),
+  callerAddress: addressSchema.describe("Listen address for callers"),
+  peerAddress: addressSchema.describe(
+    "Listen address for other processes of the system",
+  ),
+  operatorAddress: addressSchema.describe("Listen address for operators"),
+  platformUrl: z.url().describe("URL of the platform's services"),
+  peerKey: z.string().min(16).describe(
+    "Key that authenticates links between processes",
+  ),
+  operatorKey: z.string().min(16).describe(
+    "Key that operator endpoints require",
+  ),
   seeds: z.array(addressSchema).min(1).describe(
-    "Peer addresses of some steers, used until the fleet document is known",
+    "Peer addresses of some steer processes, used until the fleet document is known",
   ),
   peerRoutes: z.record(addressSchema, addressSchema).default({}).describe(
-    "Addresses to dial instead, where a peer is reached through another one",
+    "Addresses to connect to, by peer address, for peers reached through another address",
+  ),
+  statsd: addressSchema.optional().describe(
+    "Address to which StatsD metrics are sent over UDP",
   ),
-  statsd: addressSchema.optional().describe("Where metrics are sent, over UDP"),
 });
 
 /** A daemon's settings. */
