--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -13,7 +13,7 @@
 } from "../src/limits/model/simulation.ts";
 import { publish, type Row } from "./report.ts";
 
-const WAYS: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
+const STRATEGIES: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
 const FLEETS = [{ vms: 9, ratePerS: 25 }, { vms: 60, ratePerS: 25 }, {
   vms: 60,
   ratePerS: 200,
@@ -29,13 +29,13 @@
         ratePerS: scenario.ratePerS,
         load: scenario.name,
       };
-      for (const way of WAYS) {
-        const { servedShare, maxBoundRatio: mostOfBound } = simulateLimits(
+      for (const way of STRATEGIES) {
+        const { servedShare, maxBoundRatio: maxBoundRatio } = simulateLimits(
           way,
           scenario,
         );
         row[`${way}: served`] = Number(servedShare.toFixed(3));
-        row[`${way}: most`] = Number(mostOfBound.toFixed(3));
+        row[`${way}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
@@ -43,7 +43,7 @@
   publish("limits", "Served of what is allowed, and most of the bound", rows);
 }
 
-const SERVER_WAYS: readonly LimitStrategy[] = [
+const SERVER_STRATEGIES: readonly LimitStrategy[] = [
   "ranked_senders",
   "equal_parts",
   "shared_usage",
@@ -62,15 +62,17 @@
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       const row: Row = { vms, ratePerS, load: scenario.name };
-      for (const way of SERVER_WAYS) {
-        const figures = SEEDS.map((seed) =>
+      for (const way of SERVER_STRATEGIES) {
+        const results = SEEDS.map((seed) =>
           simulateLimits(way, scenario, seed)
         );
-        const served = figures.reduce((sum, one) => sum + one.served, 0);
-        const allowed = figures.reduce((sum, one) => sum + one.allowed, 0);
-        const most = Math.max(...figures.map((one) => one.maxBoundRatio));
+        const served = results.reduce((sum, one) => sum + one.served, 0);
+        const allowed = results.reduce((sum, one) => sum + one.allowed, 0);
+        const maxBoundRatio = Math.max(
+          ...results.map((one) => one.maxBoundRatio),
+        );
         row[`${way}: served`] = Number((served / allowed).toFixed(3));
-        row[`${way}: most`] = Number(most.toFixed(3));
+        row[`${way}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
--- a/bench/request_path.ts
+++ b/bench/request_path.ts
@@ -42,15 +42,15 @@
 import { publish, type Row } from "./report.ts";
 
 const RUN_MS = 30_000;
-const WARM_MS = 5_000;
-const FIXED_PART = 0.6;
+const WARM_UP_MS = 5_000;
+const FIXED_SERVICE_SHARE = 0.6;
 const LOADS = [0.5, 0.8, 0.95, 1.3];
 
 type Fault = "none" | "one slow" | "cold half" | "draining third";
 
 interface Server {
   id: string;
-  busy: number;
+  busySlots: number;
   waiting: (() => void)[];
   slowFactor: number;
   coldRequests: number;
@@ -59,7 +59,7 @@
 /** Servers that queue without bound, as many do, and never shed. */
 class QueueingBackends extends BackendClient {
   readonly servers = new Map<string, Server>();
-  overSlots = 0;
+  queuedRequests = 0;
   readonly #clock: FakeClock;
   readonly #random: Random;
   readonly #serviceMs: number;
@@ -77,7 +77,7 @@
     for (const { id } of document.backendServers) {
       this.servers.set(id, {
         id,
-        busy: 0,
+        busySlots: 0,
         waiting: [],
         slowFactor: 1,
         coldRequests: 0,
@@ -89,14 +89,14 @@
     { server: { id }, signal }: BackendExchange,
   ): Promise<ExchangeResult> {
     const server = this.servers.get(id)!;
-    if (server.busy >= this.#slots) {
-      this.overSlots += 1;
+    if (server.busySlots >= this.#slots) {
+      this.queuedRequests += 1;
       await new Promise<void>((resolve) => server.waiting.push(resolve));
-    } else server.busy += 1;
+    } else server.busySlots += 1;
     if (!signal.aborted) await this.#work(server, signal);
     const next = server.waiting.shift();
     if (next) next();
-    else server.busy -= 1;
+    else server.busySlots -= 1;
     if (signal.aborted) return { kind: "failed", reason: "cut off" };
     const body = Buffer.alloc(0);
     const answer = { status: 200, contentType: undefined, body, serverId: id };
@@ -109,11 +109,12 @@
       server.coldRequests -= 1;
       factor *= 3;
     }
-    const varying = drawExponential(
+    const variableMs = drawExponential(
       this.#random,
-      this.#serviceMs * (1 - FIXED_PART),
+      this.#serviceMs * (1 - FIXED_SERVICE_SHARE),
     );
-    const durationMs = (this.#serviceMs * FIXED_PART + varying) * factor;
+    const durationMs = (this.#serviceMs * FIXED_SERVICE_SHARE + variableMs) *
+      factor;
     return new Promise((resolve) => {
       const timer = this.#clock.after(durationMs, resolve);
       signal.addEventListener("abort", () => {
@@ -132,7 +133,7 @@
   }
 }
 
-interface Case {
+interface BenchCase {
   deployment: Deployment;
   document: ServiceDocument;
   load: number;
@@ -148,18 +149,27 @@
 }
 
 function isDrained(fault: Fault, index: number, nowMs: number): boolean {
-  return fault === "draining third" && index % 3 === 0 && nowMs >= WARM_MS;
+  return fault === "draining third" && index % 3 === 0 && nowMs >= WARM_UP_MS;
 }
 
-function setUpSteering(made: Case, makePolicy: (r: Random) => ChoicePolicy) {
+function createSteeringSetup(
+  made: BenchCase,
+  makePolicy: (r: Random) => ChoicePolicy,
+) {
   const clock = createFakeClock();
   const random = createRandom(7);
   const { document, fault } = made;
   const backends = new QueueingBackends(document, { clock, random });
   const policy = makePolicy(createRandom(11));
-  const endCheck: CrashCheck = { check: () => Promise.resolve("runs") };
-  const deadly = createDeadlyRequests(clock, endCheck);
-  const runner = createLocalRunner({ clock, random, backends, policy, deadly });
+  const crashCheck: CrashCheck = { check: () => Promise.resolve("runs") };
+  const poisonRequests = createDeadlyRequests(clock, crashCheck);
+  const runner = createLocalRunner({
+    clock,
+    random,
+    backends,
+    policy,
+    deadly: poisonRequests,
+  });
   const { set } = runner.line(document);
   const sync = () => {
     syncServers(set, document, {
@@ -182,19 +192,19 @@
 }
 
 /** Round robin over servers that are not drained, and again on any error. */
-function setUpNaive({ document, fault }: Case): Setup {
+function createNaiveSetup({ document, fault }: BenchCase): Setup {
   const clock = createFakeClock();
   const random = createRandom(7);
   const backends = new QueueingBackends(document, { clock, random });
-  let turn = 0;
+  let rotation = 0;
   const send: Send = async (request) => {
     for (let attempt = 0; attempt < 3; attempt++) {
       const nowMs = clock.monotonicMs();
-      const open = document.backendServers.filter((_, index) =>
+      const activeServers = document.backendServers.filter((_, index) =>
         !isDrained(fault, index, nowMs)
       );
-      turn += 1;
-      const server = open[turn % open.length];
+      rotation += 1;
+      const server = activeServers[rotation % activeServers.length];
       const cutOff = new AbortController();
       const timeMs = (request.deadlineMs - nowMs) / 2;
       const timer = clock.after(Math.max(1, timeMs), () => cutOff.abort());
@@ -213,13 +223,13 @@
   return { clock, backends, send };
 }
 
-interface Tally {
+interface OutcomeCounts {
   inTime: number;
   all: number;
   histogram: Histogram;
 }
 
-async function measure(made: Case, setup: Setup): Promise<Row> {
+async function measure(made: BenchCase, setup: Setup): Promise<Row> {
   const { document, load, fault } = made;
   const { clock, backends, send } = setup;
   const servers = [...backends.servers.values()];
@@ -232,7 +242,7 @@
   const slots = document.backendServers.reduce((sum, s) => sum + s.slots, 0);
   const capacity = slots * 1_000 / document.expectedServiceMs;
   const random = createRandom(3);
-  const tally: Tally = { inTime: 0, all: 0, histogram: build() };
+  const tally: OutcomeCounts = { inTime: 0, all: 0, histogram: build() };
   const pending: Promise<void>[] = [];
   let nextMs = 0;
   for (let nowMs = 0; nowMs < RUN_MS; nowMs += 1) {
@@ -253,14 +263,14 @@
     "p50 ms": histogram.getValueAtPercentile(50) / 100,
     "p99 ms": histogram.getValueAtPercentile(99) / 100,
     "p99.9 ms": histogram.getValueAtPercentile(99.9) / 100,
-    "over slots": backends.overSlots,
+    "over slots": backends.queuedRequests,
   };
 }
 
 async function sendOne(
-  { document, deployment }: Case,
+  { document, deployment }: BenchCase,
   { clock }: Setup,
-  { random, tally, send }: { random: Random; tally: Tally; send: Send },
+  { random, tally, send }: { random: Random; tally: OutcomeCounts; send: Send },
 ): Promise<void> {
   const service = deployment.services.find((one) =>
     one.document.service === document.service
@@ -287,7 +297,7 @@
     hops: 0,
     signal: new AbortController().signal,
   });
-  if (startMs < WARM_MS) return;
+  if (startMs < WARM_UP_MS) return;
   const latencyMs = clock.monotonicMs() - startMs;
   tally.all += requestClass.weight;
   if (outcome.kind !== "answer") return;
@@ -337,13 +347,16 @@
     const service = deployment.services[1];
     const document = makeDocument(service);
     for (const [load, fault] of cases) {
-      const made: Case = { deployment, document, load, fault };
+      const made: BenchCase = { deployment, document, load, fault };
       const shared = { deployment: name, load: `${load * 100}%`, fault };
       for (const [policy, makePolicy] of POLICIES) {
-        const figures = await measure(made, setUpSteering(made, makePolicy));
-        rows.push({ ...shared, way: policy, ...figures });
+        const stats = await measure(
+          made,
+          createSteeringSetup(made, makePolicy),
+        );
+        rows.push({ ...shared, way: policy, ...stats });
       }
-      const naive = await measure(made, setUpNaive(made));
+      const naive = await measure(made, createNaiveSetup(made));
       rows.push({ ...shared, way: "naive", ...naive });
     }
   }
--- a/bench/slopes/lookups.ts
+++ b/bench/slopes/lookups.ts
@@ -14,7 +14,7 @@
 import { createRandom } from "../../src/runtime/random.ts";
 import type { Row } from "../report.ts";
 import { makeMember } from "./members.ts";
-import { makeRow, measureBytes, timeUs } from "./points.ts";
+import { makeRow, measureBytes, measureTimeUs } from "./points.ts";
 
 function makeBlocks(count: number): FleetDocument["clientBlocks"] {
   const first = parseIpv4("10.0.0.0")!;
@@ -34,16 +34,16 @@
   });
   const first = parseIpv4("10.0.0.0")!;
   const random = createRandom(1);
-  const look = sizes.map((size) => {
+  const lookupTimes = sizes.map((size) => {
     const table = createBlockTable(makeBlocks(size));
-    const value = timeUs(100_000, () => {
+    const value = measureTimeUs(100_000, () => {
       table.find(first + Math.floor(random() * size) * 256);
     });
     return { size, value };
   });
   return [
     makeRow("memory of the block table", "bytes a block", memory),
-    makeRow("finding a block", "us, against blocks", look),
+    makeRow("finding a block", "us, against blocks", lookupTimes),
   ];
 }
 
@@ -74,7 +74,7 @@
     } as unknown as FleetDocument;
     const document = { service: "s", answerTtlMs: 1 } as ServiceDocument;
     const row = { "domain-0": 0.4, "domain-1": 0.3, "domain-2": 0.3 };
-    const value = timeUs(10_000, () => {
+    const value = measureTimeUs(10_000, () => {
       const client = table.find(
         first + Math.floor(random() * 330_000) * 256,
       )!;
--- a/bench/slopes/messages.ts
+++ b/bench/slopes/messages.ts
@@ -7,23 +7,29 @@
 import { createControlCodec } from "../../src/control/links.ts";
 import type { PeerMessage } from "../../src/control/messages.ts";
 import type { Row } from "../report.ts";
-import { makeRow, timeUs } from "./points.ts";
+import { makeRow, measureTimeUs } from "./points.ts";
 import { makeMember } from "./members.ts";
 
 /** @returns Rows of messages. */
 export function measureMessages(): Row[] {
-  const wire = (make: (size: number) => PeerMessage, sizes: number[]) =>
+  const measureEncodedBytes = (
+    make: (size: number) => PeerMessage,
+    sizes: number[],
+  ) =>
     sizes.map((size) => {
       const codec = createControlCodec();
       codec.encode(make(size));
       return { size, value: codec.encode(make(size)).length };
     });
-  const cpu = (make: (size: number) => PeerMessage, sizes: number[]) =>
+  const measureCodecUs = (
+    make: (size: number) => PeerMessage,
+    sizes: number[],
+  ) =>
     sizes.map((size) => {
       const sender = createControlCodec();
       const receiver = createControlCodec();
       const message = make(size);
-      const value = timeUs(500, () => {
+      const value = measureTimeUs(500, () => {
         receiver.decode(Buffer.from(sender.encode(message)));
       });
       return { size, value };
@@ -77,32 +83,32 @@
     makeRow(
       "a view with members",
       "bytes, against members",
-      wire(makeViews, sizes),
+      measureEncodedBytes(makeViews, sizes),
     ),
     makeRow(
       "a view with members, both ends",
       "us, against members",
-      cpu(makeViews, sizes),
+      measureCodecUs(makeViews, sizes),
     ),
     makeRow(
       "an entry's figures",
       "bytes, against services",
-      wire(makeLoad, sizes),
+      measureEncodedBytes(makeLoad, sizes),
     ),
     makeRow(
       "an entry's figures, both ends",
       "us, against services",
-      cpu(makeLoad, sizes),
+      measureCodecUs(makeLoad, sizes),
     ),
     makeRow(
       "changed documents of 2 kB",
       "bytes, against documents",
-      wire(makeChanges, sizes),
+      measureEncodedBytes(makeChanges, sizes),
     ),
     makeRow(
       "changed documents of 2 kB, both ends",
       "us, against documents",
-      cpu(makeChanges, sizes),
+      measureCodecUs(makeChanges, sizes),
     ),
   ];
 }
--- a/bench/slopes/planner.ts
+++ b/bench/slopes/planner.ts
@@ -8,7 +8,7 @@
 import { decidePlan } from "../../src/steering/decide.ts";
 import type { AssignInput, Plan } from "../../src/steering/types.ts";
 import type { Row } from "../report.ts";
-import { makeRow, timeUs } from "./points.ts";
+import { makeRow, measureTimeUs } from "./points.ts";
 
 function makePlanInput(domains: number): AssignInput {
   const random = createRandom(5);
@@ -40,7 +40,7 @@
     service: "s",
     shiftCap: { maxShare: 0.1, windowS: 10 },
   } as ServiceDocument;
-  const time = (domains: number, current: "kept" | "changed") => {
+  const measureDecideUs = (domains: number, current: "kept" | "changed") => {
     const input = makePlanInput(domains);
     const regionOf = new Map(
       input.domainCapacities.map((
@@ -65,7 +65,7 @@
     for (let step = 1; current === "kept" && step < 100; step++) {
       plan = decide(plan, step * 60_000) ?? plan;
     }
-    return timeUs(20, () => {
+    return measureTimeUs(20, () => {
       decide(plan, 1e9);
     });
   };
@@ -74,12 +74,12 @@
     makeRow(
       "deciding on a plan that is kept",
       "us a service, against failure domains",
-      sizes.map((size) => ({ size, value: time(size, "kept") })),
+      sizes.map((size) => ({ size, value: measureDecideUs(size, "kept") })),
     ),
     makeRow(
       "deciding on a plan that changes",
       "us a service, against failure domains",
-      sizes.map((size) => ({ size, value: time(size, "changed") })),
+      sizes.map((size) => ({ size, value: measureDecideUs(size, "changed") })),
     ),
   ];
 }
--- a/bench/slopes/points.ts
+++ b/bench/slopes/points.ts
@@ -18,16 +18,19 @@
 }
 
 /** Least squares; the error is the largest miss as a share of the value. */
-function fit(points: readonly Point[]) {
+function fitLine(points: readonly Point[]) {
   const n = points.length;
   const meanX = points.reduce((sum, { size }) => sum + size, 0) / n;
   const meanY = points.reduce((sum, { value }) => sum + value, 0) / n;
-  const over = points.reduce(
+  const covarianceSum = points.reduce(
     (sum, { size, value }) => sum + (size - meanX) * (value - meanY),
     0,
   );
-  const under = points.reduce((sum, { size }) => sum + (size - meanX) ** 2, 0);
-  const slope = over / under;
+  const varianceSum = points.reduce(
+    (sum, { size }) => sum + (size - meanX) ** 2,
+    0,
+  );
+  const slope = covarianceSum / varianceSum;
   const base = meanY - slope * meanX;
   const error = Math.max(
     ...points.map(({ size, value }) =>
@@ -44,7 +47,7 @@
  * @returns The row of the table, with a straight line fitted.
  */
 export function makeRow(what: string, unit: string, points: Point[]): Row {
-  const { slope, base, error } = fit(points);
+  const { slope, base, error } = fitLine(points);
   process.stderr.write(`  ${what}\n`);
   return {
     what,
@@ -58,7 +61,10 @@
 }
 
 /** @returns Microseconds that a call takes, the best of three runs. */
-export function timeUs(calls: number, run: (index: number) => void): number {
+export function measureTimeUs(
+  calls: number,
+  run: (index: number) => void,
+): number {
   let best = Infinity;
   for (let round = 0; round < 3; round++) {
     const startMs = performance.now();
@@ -74,14 +80,14 @@
   make();
   collectGarbage();
   collectGarbage();
-  const used = () => {
+  const getUsedBytes = () => {
     const { heapUsed, arrayBuffers } = process.memoryUsage();
     return heapUsed + arrayBuffers;
   };
-  const before = used();
-  const made = make();
+  const before = getUsedBytes();
+  const retained = make();
   collectGarbage();
-  const bytes = used() - before;
-  if (made === undefined) throw new Error("Nothing was made");
+  const bytes = getUsedBytes() - before;
+  if (retained === undefined) throw new Error("Nothing was made");
   return bytes;
 }
--- a/bench/slopes/state.ts
+++ b/bench/slopes/state.ts
@@ -10,7 +10,7 @@
 import { createMembershipState } from "../../src/membership/state.ts";
 import { applyChanges, createReplicaState } from "../../src/replica/logic.ts";
 import type { Row } from "../report.ts";
-import { makeRow, measureBytes, timeUs } from "./points.ts";
+import { makeRow, measureBytes, measureTimeUs } from "./points.ts";
 import { makeMember } from "./members.ts";
 
 /** @returns Rows of what processes hold. */
@@ -40,7 +40,10 @@
       "us, against members",
       members.map((size) => {
         const state = fill(size);
-        return { size, value: timeUs(50, () => void observeMembers(state, 1)) };
+        return {
+          size,
+          value: measureTimeUs(50, () => void observeMembers(state, 1)),
+        };
       }),
     ),
     makeRow(
--- a/bench/steering/mod.ts
+++ b/bench/steering/mod.ts
@@ -24,10 +24,10 @@
 import { EVENT_MS, listScenarios, type Scenario } from "./scenarios.ts";
 import { decideNaive, decideOmniscient, decideSteering } from "./strategies.ts";
 import {
-  demandAt,
+  getDemandPerS,
   measureMoved,
-  noteCold,
   placeBlocks,
+  recordColdRegions,
   type RunResult,
   serve,
   type Site,
@@ -73,7 +73,7 @@
       : placeBlocks(world);
     placedFor = world.weights;
     history.push(places);
-    noteCold(world, nowMs, history);
+    recordColdRegions(world, nowMs, history);
     const served = serve(world, nowMs, places);
     offered += served.offered;
     inTime += served.inTime;
@@ -98,7 +98,7 @@
       Object.fromEntries(
         site.document.regions.map((region) => [
           region,
-          demandAt(world, region, nowMs),
+          getDemandPerS(world, region, nowMs),
         ]),
       ),
     );
@@ -108,7 +108,7 @@
 }
 
 /** Share of all slots in use before the event. */
-const BASE_USE = 0.5;
+const BASE_UTILIZATION = 0.5;
 
 function listSites(name: string): Site[] {
   const deployment = readDeployment(name);
@@ -130,7 +130,7 @@
       demand: Object.fromEntries(
         deployment.regions.map((region) => [
           region.name,
-          capacity * BASE_USE * region.demandShare,
+          capacity * BASE_UTILIZATION * region.demandShare,
         ]),
       ),
       weight: service.share,
@@ -138,7 +138,7 @@
   });
 }
 
-function quantile(values: number[], part: number): number {
+function getQuantile(values: number[], part: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) * part)];
 }
@@ -174,9 +174,9 @@
           strategy,
           "in time": inTime,
           "of omniscient": inTime / best,
-          "p50 ms": quantile(latency, 0.5),
-          "p99 ms": quantile(latency, 0.99),
-          "p99.9 ms": quantile(latency, 0.999),
+          "p50 ms": getQuantile(latency, 0.5),
+          "p99 ms": getQuantile(latency, 0.99),
+          "p99.9 ms": getQuantile(latency, 0.999),
           "lowest region headroom": lowest((one) => one.lowestHeadroom),
           "lowest link headroom": lowest((one) => one.lowestLinkHeadroom),
           "largest shift / cap": highest((one) => one.largestShiftOverCap),
--- a/bench/steering/scenarios.ts
+++ b/bench/steering/scenarios.ts
@@ -15,16 +15,16 @@
   /** Age of the figures that a planner sees, in ms; Infinity: none arrive. */
   lagMs(nowMs: number): number;
   /** Whether places that gain traffic are cold. */
-  cold: boolean;
+  hasColdStarts: boolean;
 }
 
-const calm: Omit<Scenario, "name"> = {
+const NO_EVENT: Omit<Scenario, "name"> = {
   durationMs: 620_000,
   demandFactor: () => 1,
   isLost: () => false,
   isDrained: () => false,
   lagMs: () => 1_000,
-  cold: false,
+  hasColdStarts: false,
 };
 
 /** When the event of a scenario begins, in ms. */
@@ -36,26 +36,26 @@
   const after = (nowMs: number) => nowMs >= EVENT_MS;
   return [
     {
-      ...calm,
+      ...NO_EVENT,
       name: "region loss",
       isLost: (region, nowMs) => region === first && after(nowMs),
     },
     {
-      ...calm,
+      ...NO_EVENT,
       name: "surge at 3x",
       demandFactor: (nowMs) => after(nowMs) ? 3 : 1,
     },
     {
-      ...calm,
+      ...NO_EVENT,
       name: "region loss, figures stop",
       isLost: (region, nowMs) => region === first && after(nowMs),
       lagMs: (nowMs) => after(nowMs) ? Infinity : 1_000,
     },
     {
-      ...calm,
+      ...NO_EVENT,
       name: "drain to cold places",
       isDrained: (region, nowMs) => region === first && after(nowMs),
-      cold: true,
+      hasColdStarts: true,
     },
   ];
 }
--- a/bench/steering/strategies.ts
+++ b/bench/steering/strategies.ts
@@ -20,8 +20,8 @@
 import { EVENT_MS } from "./scenarios.ts";
 import {
   BLOCKS_PER_REGION,
-  capacityOf,
-  demandAt,
+  getCapacityPerS,
+  getDemandPerS,
   STEP_MS,
   WALL_START_MS,
   type World,
@@ -97,7 +97,7 @@
   const { serviceMs } = { serviceMs: document.expectedServiceMs };
   const demand = Object.keys(world.site.demand).map((region) => ({
     region,
-    slots: demandAt(world, region, nowMs) * serviceMs / 1_000,
+    slots: getDemandPerS(world, region, nowMs) * serviceMs / 1_000,
   }));
   const places = known.input.domainCapacities.map((place) => ({
     ...place,
@@ -169,7 +169,7 @@
         sumByRegion(world.weights[region] ?? {}, regionOf),
       )
     ) {
-      const added = demandAt(world, region, atMs) * weight;
+      const added = getDemandPerS(world, region, atMs) * weight;
       load.set(target, (load.get(target) ?? 0) + added);
     }
   }
@@ -182,10 +182,10 @@
       .sort((a, b) =>
         getDelayMs(fleet, region, a) - getDelayMs(fleet, region, b)
       );
-    const roomy = ranked.find((target) =>
-      (load.get(target) ?? 0) < capacityOf(world, target, atMs)
+    const regionWithCapacity = ranked.find((target) =>
+      (load.get(target) ?? 0) < getCapacityPerS(world, target, atMs)
     );
-    const chosen = domainsOf(roomy ?? ranked[0]);
+    const chosen = domainsOf(regionWithCapacity ?? ranked[0]);
     next[region] = Object.fromEntries(
       chosen.map((domain) => [domain, 1 / chosen.length]),
     );
--- a/bench/steering/world.ts
+++ b/bench/steering/world.ts
@@ -18,7 +18,7 @@
 /** Client blocks of each region. */
 export const BLOCKS_PER_REGION = 400;
 /** Latency is taken from each so many steps. */
-export const LATENCY_EVERY = 20;
+export const LATENCY_SAMPLE_STEPS = 20;
 /** Service time of a cold server, as a multiple. */
 export const COLD_FACTOR = 3;
 /** Time that a place stays cold, in ms. */
@@ -64,7 +64,7 @@
 }
 
 /** @returns Requests a second that a region can serve now. */
-export function capacityOf(
+export function getCapacityPerS(
   world: World,
   region: string,
   nowMs: number,
@@ -80,12 +80,16 @@
 }
 
 /** @returns Requests a second of a region's callers. */
-export function demandAt(world: World, region: string, nowMs: number): number {
+export function getDemandPerS(
+  world: World,
+  region: string,
+  nowMs: number,
+): number {
   return world.site.demand[region] * world.scenario.demandFactor(nowMs);
 }
 
 /** What one step came to, in requests a second. */
-export interface Served {
+export interface StepResult {
   offered: number;
   inTime: number;
   allowed: number;
@@ -95,13 +99,17 @@
 }
 
 /** @returns What is served of what arrives. */
-export function serve(world: World, nowMs: number, places: string[][]): Served {
+export function serve(
+  world: World,
+  nowMs: number,
+  places: string[][],
+): StepResult {
   const { site: { document, fleet }, strategy } = world;
   const arriving = new Map<string, number>();
   const crossing = new Map<string, number>();
   let offered = 0;
   document.regions.forEach((caller, index) => {
-    const perBlock = demandAt(world, caller, nowMs) / BLOCKS_PER_REGION;
+    const perBlock = getDemandPerS(world, caller, nowMs) / BLOCKS_PER_REGION;
     for (const place of places[index]) {
       offered += perBlock;
       arriving.set(place, (arriving.get(place) ?? 0) + perBlock);
@@ -115,7 +123,7 @@
   let headroom = 1;
   let capacityAll = 0;
   for (const region of document.regions) {
-    const capacity = capacityOf(world, region, nowMs);
+    const capacity = getCapacityPerS(world, region, nowMs);
     const wanted = arriving.get(region) ?? 0;
     capacityAll += capacity;
     // Admission holds back what a place can't serve; the naive has none.
@@ -125,25 +133,28 @@
     const isCollapsed = strategy === "naive" && wanted > capacity * 1.05;
     inTime += isCollapsed ? capacity * 0.05 : Math.min(wanted, capacity);
   }
-  const takesLatency = nowMs / STEP_MS % LATENCY_EVERY === 0;
+  const recordsLatency = nowMs / STEP_MS % LATENCY_SAMPLE_STEPS === 0;
   document.regions.forEach((caller, index) => {
-    if (!takesLatency) return;
+    if (!recordsLatency) return;
     for (const place of places[index]) {
-      const capacity = capacityOf(world, place, nowMs);
-      const use = Math.min(0.97, (arriving.get(place) ?? 0) / capacity);
+      const capacity = getCapacityPerS(world, place, nowMs);
+      const utilization = Math.min(0.97, (arriving.get(place) ?? 0) / capacity);
       if (capacity === 0) continue;
-      const wayMs = 2 * getDelayMs(fleet, caller, place);
-      latency.push(wayMs + document.expectedServiceMs / (1 - use * use));
+      const roundTripMs = 2 * getDelayMs(fleet, caller, place);
+      latency.push(
+        roundTripMs +
+          document.expectedServiceMs / (1 - utilization * utilization),
+      );
     }
   });
   const limit = fleet.links[0]?.limitBytesPerS ?? Infinity;
-  const most = Math.max(0, ...crossing.values());
+  const maxLinkBytesPerS = Math.max(0, ...crossing.values());
   return {
     offered,
     inTime,
     allowed: Math.min(offered, capacityAll),
     headroom,
-    linkHeadroom: 1 - most / limit,
+    linkHeadroom: 1 - maxLinkBytesPerS / limit,
     latency,
   };
 }
@@ -162,12 +173,12 @@
 }
 
 /** Places whose traffic grew by a tenth within a second are cold for a while. */
-export function noteCold(
+export function recordColdRegions(
   world: World,
   nowMs: number,
   history: string[][][],
 ): void {
-  if (!world.scenario.cold || history.length < 3) return;
+  if (!world.scenario.hasColdStarts || history.length < 3) return;
   const count = (places: string[][], region: string) =>
     places.flat().filter((place) => place === region).length;
   for (const region of world.site.document.regions) {
@@ -188,7 +199,7 @@
   let moved = 0;
   let all = 0;
   world.site.document.regions.forEach((caller, index) => {
-    const perBlock = demandAt(world, caller, nowMs);
+    const perBlock = getDemandPerS(world, caller, nowMs);
     after[index].forEach((place, block) => {
       all += perBlock;
       if (before[index][block] !== place) moved += perBlock;
--- a/scripts/write_reference.ts
+++ b/scripts/write_reference.ts
@@ -28,13 +28,13 @@
 
 function describeAllowed(schema: JsonSchema): string {
   if (schema.enum) return schema.enum.join(", ");
-  const parts: string[] = [schema.type ?? "any"];
-  if (schema.minimum !== undefined) parts.push(`at least ${schema.minimum}`);
+  const rules: string[] = [schema.type ?? "any"];
+  if (schema.minimum !== undefined) rules.push(`at least ${schema.minimum}`);
   if (schema.exclusiveMinimum !== undefined) {
-    parts.push(`above ${schema.exclusiveMinimum}`);
+    rules.push(`above ${schema.exclusiveMinimum}`);
   }
-  if (schema.maximum !== undefined) parts.push(`at most ${schema.maximum}`);
-  return parts.join(", ");
+  if (schema.maximum !== undefined) rules.push(`at most ${schema.maximum}`);
+  return rules.join(", ");
 }
 
 function listRows(schema: JsonSchema, path: string): string[] {
@@ -42,11 +42,11 @@
   return Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
     const fieldPath = path === "" ? name : `${path}.${name}`;
     const isOptional = !required.has(name) || field.default !== undefined;
-    const fallback = field.default === undefined
+    const defaultText = field.default === undefined
       ? (isOptional ? "absent" : "required")
       : JSON.stringify(field.default);
     const row = `| \`${fieldPath}\` | ${describeAllowed(field)} | ` +
-      `${fallback} | ${field.description ?? ""} |`;
+      `${defaultText} | ${field.description ?? ""} |`;
     return [
       row,
       ...listRows(field, fieldPath),
--- a/src/bin/hawthorngw_explain.ts
+++ b/src/bin/hawthorngw_explain.ts
@@ -8,9 +8,9 @@
 import process from "node:process";
 import { createInterface } from "node:readline";
 import { parseArgs } from "node:util";
-import { renderBeliefs } from "../explain/beliefs.ts";
-import { renderEnds } from "../explain/ends.ts";
-import { gatherLines } from "../explain/lines.ts";
+import { renderEstimates } from "../explain/estimates.ts";
+import { renderCrashes } from "../explain/crashes.ts";
+import { parseLogLines } from "../explain/lines.ts";
 import { renderMoves, renderTable } from "../explain/report.ts";
 import { EXIT_CODES } from "../runtime/process.ts";
 
@@ -59,11 +59,11 @@
 }
 const lines = await readLines(positionals);
 if (values.request !== undefined) {
-  const wanted = `"${values.request}"`;
-  const own = lines.filter((line) => line.includes(wanted));
-  process.stdout.write(`${own.join("\n")}\n`);
+  const quotedId = `"${values.request}"`;
+  const matching = lines.filter((line) => line.includes(quotedId));
+  process.stdout.write(`${matching.join("\n")}\n`);
 } else {
-  const content = gatherLines(lines);
+  const content = parseLogLines(lines);
   let firstMs = Infinity;
   for (const { end } of content.requests.values()) {
     if (end !== undefined) firstMs = Math.min(firstMs, end.time - end.tookMs);
@@ -72,9 +72,9 @@
     renderTable(content, kind, firstMs)
   );
   const moves = renderMoves(content.moves, Number(values["max-shift"]));
-  const beliefs = renderBeliefs(content);
-  const ends = renderEnds(content, firstMs);
+  const estimates = renderEstimates(content);
+  const crashes = renderCrashes(content, firstMs);
   process.stdout.write(
-    `${[...tables, moves, beliefs, ends].join("\n\n")}\n`,
+    `${[...tables, moves, estimates, crashes].join("\n\n")}\n`,
   );
 }
--- a/src/bin/hawthorngw_load.ts
+++ b/src/bin/hawthorngw_load.ts
@@ -106,9 +106,12 @@
   );
 }
 
-type Measure = (settings: LoadSettings, clock: Clock) => Promise<unknown>;
+type MeasureFunction = (
+  settings: LoadSettings,
+  clock: Clock,
+) => Promise<unknown>;
 
-async function measure(args: string[], run: Measure): Promise<number> {
+async function measure(args: string[], run: MeasureFunction): Promise<number> {
   const settings = readLoadSettings(args);
   const cost = await run(settings, createSystemClock());
   const json = JSON.stringify(cost, null, 2);
@@ -119,21 +122,21 @@
 
 async function run(args: string[]): Promise<number> {
   const settings = readLoadSettings(args);
-  const show = createProgress(settings.durationS);
+  const progressDisplay = createProgress(settings.durationS);
   const { report, html } = await runExperiment(
     settings,
     createSystemClock(),
-    show.update,
+    progressDisplay.update,
   );
-  show.stop();
+  progressDisplay.stop();
   const json = JSON.stringify(report, null, 2);
   process.stdout.write(`${json}\n`);
   if (settings.reportFile) writeFileSync(settings.reportFile, `${json}\n`);
   if (settings.htmlFile) writeFileSync(settings.htmlFile, html);
-  return isBroken(report) ? EXIT_CODES.failure : EXIT_CODES.ok;
+  return hasViolations(report) ? EXIT_CODES.failure : EXIT_CODES.ok;
 }
 
-function isBroken({ invariants }: Report): boolean {
+function hasViolations({ invariants }: Report): boolean {
   return Object.values(invariants).some((count) => count > 0);
 }
 
--- a/src/caller/lookup_cache.ts
+++ b/src/caller/lookup_cache.ts
@@ -11,13 +11,13 @@
 import type { Random } from "../runtime/random.ts";
 
 /** Answers are given up to this share earlier, so that callers spread. */
-const JITTER_SHARE = 0.2;
+const EXPIRY_JITTER_SHARE = 0.2;
 /** Answers kept at most. */
-const MAX_ANSWERS = 50_000;
+const MAX_CACHED_ANSWERS = 50_000;
 const LOOKUP_TIMEOUT_MS = 1_000;
 
 /** What is looked up. */
-export interface LookupQuestion {
+export interface LookupQuery {
   service: string;
   clientIp: string;
 }
@@ -25,12 +25,12 @@
 /** Answers to look-ups. */
 export interface LookupCache {
   /** @returns The answer, or why there is none. */
-  find(question: LookupQuestion): Promise<LookupAnswer | { reason: string }>;
+  find(question: LookupQuery): Promise<LookupAnswer | { reason: string }>;
   /** Drops an answer whose entries have failed. */
-  forget(question: LookupQuestion): void;
+  invalidate(question: LookupQuery): void;
 }
 
-interface KeptAnswer {
+interface CachedAnswer {
   answer: LookupAnswer;
   expiresMs: number;
 }
@@ -50,23 +50,23 @@
  */
 export function createLookupCache(options: LookupCacheOptions): LookupCache {
   const { steers, clock, random, agent } = options;
-  const kept = new Map<string, KeptAnswer>();
-  let preferred = 0;
+  const cachedAnswers = new Map<string, CachedAnswer>();
+  let preferredIndex = 0;
 
-  function keyOf({ service, clientIp }: LookupQuestion): string {
+  function makeCacheKey({ service, clientIp }: LookupQuery): string {
     return `${service} ${clientIp}`;
   }
 
-  function keep(question: LookupQuestion, answer: LookupAnswer): void {
-    if (kept.size >= MAX_ANSWERS) kept.clear();
-    const lifeMs = answer.ttlMs * (1 - JITTER_SHARE * random());
-    const expiresMs = clock.monotonicMs() + lifeMs;
-    kept.set(keyOf(question), { answer, expiresMs });
+  function store(question: LookupQuery, answer: LookupAnswer): void {
+    if (cachedAnswers.size >= MAX_CACHED_ANSWERS) cachedAnswers.clear();
+    const lifetimeMs = answer.ttlMs * (1 - EXPIRY_JITTER_SHARE * random());
+    const expiresMs = clock.monotonicMs() + lifetimeMs;
+    cachedAnswers.set(makeCacheKey(question), { answer, expiresMs });
   }
 
-  async function ask(
+  async function querySteer(
     steer: string,
-    { service, clientIp }: LookupQuestion,
+    { service, clientIp }: LookupQuery,
   ): Promise<LookupAnswer | { reason: string; final: boolean }> {
     const path = `/v1/lookup/${encodeURIComponent(service)}?client=${clientIp}`;
     try {
@@ -86,15 +86,15 @@
 
   return {
     async find(question) {
-      const known = kept.get(keyOf(question));
-      if (known && known.expiresMs > clock.monotonicMs()) return known.answer;
+      const found = cachedAnswers.get(makeCacheKey(question));
+      if (found && found.expiresMs > clock.monotonicMs()) return found.answer;
       let reason = "No steer is known";
       for (let tried = 0; tried < steers.length; tried++) {
-        const index = (preferred + tried) % steers.length;
-        const answer = await ask(steers[index], question);
+        const index = (preferredIndex + tried) % steers.length;
+        const answer = await querySteer(steers[index], question);
         if ("entries" in answer) {
-          preferred = index;
-          keep(question, answer);
+          preferredIndex = index;
+          store(question, answer);
           return answer;
         }
         reason = answer.reason;
@@ -102,6 +102,6 @@
       }
       return { reason };
     },
-    forget: (question) => void kept.delete(keyOf(question)),
+    invalidate: (question) => void cachedAnswers.delete(makeCacheKey(question)),
   };
 }
--- a/src/caller/mod.ts
+++ b/src/caller/mod.ts
@@ -80,12 +80,12 @@
   async function call(made: Call): Promise<CallResult> {
     const endMs = clock.monotonicMs() + made.deadlineMs;
     const requestId = createId();
-    const found = await lookups.find(made);
-    if ("reason" in found) {
-      const { reason } = found;
+    const lookupResult = await lookups.find(made);
+    if ("reason" in lookupResult) {
+      const { reason } = lookupResult;
       return { kind: "not_run", reason, retryAfterS: 1, requestId };
     }
-    return tryEntries(made, found, { requestId, endMs });
+    return tryEntries(made, lookupResult, { requestId, endMs });
   }
 
   /** A key stays the same from the moment that anything was sent under it. */
@@ -113,9 +113,9 @@
       };
       const result = await send(attempt);
       if (result.kind === "final") {
-        return weighNotRun(made, result.result, wasSent);
+        return resolveNotRun(made, result.result, wasSent);
       }
-      lookups.forget(made);
+      lookups.invalidate(made);
       reason = result.reason;
       wasSent ||= result.kind === "broken";
     }
@@ -155,7 +155,7 @@
  * A refusal speaks for the last attempt only. The owner of a key speaks for all
  * attempts under it; without a key, an earlier one may have run.
  */
-function weighNotRun(
+function resolveNotRun(
   made: Call,
   result: CallResult,
   wasSent: boolean,
--- a/src/daemon/daemon_core.ts
+++ b/src/daemon/daemon_core.ts
@@ -8,7 +8,7 @@
 import { startAgent } from "../control/agent.ts";
 import type { ControlAgent } from "../control/types.ts";
 import type { Role } from "../membership/types.ts";
-import { openOperatorAddress } from "../operator/routes.ts";
+import { serveOperatorApi } from "../operator/routes.ts";
 import type { Platform } from "../platform/types.ts";
 import { splitAddress } from "../runtime/address.ts";
 import { type Clock, pause } from "../runtime/clock.ts";
@@ -151,7 +151,7 @@
     translate,
     async startOperatorServer(dump) {
       servers.push(
-        await openOperatorAddress({
+        await serveOperatorApi({
           address: settings.operatorAddress,
           key: settings.operatorKey,
           agent,
--- a/src/explain/causes.ts
+++ b/src/explain/causes.ts
@@ -57,18 +57,18 @@
 ];
 
 /** From one request a slot on, a request waits. */
-const FULL_USE = 1;
+const SATURATION = 1;
 /** A region below this has room: two fifths of its slots are free. */
-const ROOM_USE = 0.6;
+const SPARE_CAPACITY_UTILIZATION = 0.6;
 /** A run that takes this many times as long as usual is no usual one. */
 const SLOW_FACTOR = 2;
 
 /** Usual times of attempts that were answered, in ms. */
-export interface UsualTimes {
+export interface MedianTimes {
   /** @returns The median over all servers of a service. */
-  ofService(service: string): number;
+  serviceMedianMs(service: string): number;
   /** @returns The median at a server in the second around a moment. */
-  ofServer(server: string, time: number): number;
+  serverMedianMs(server: string, time: number): number;
 }
 
 /**
@@ -76,7 +76,7 @@
  * @param usual Usual times.
  * @returns What became of it.
  */
-export function findCause(request: RequestLines, usual: UsualTimes): Cause {
+export function findCause(request: RequestLines, usual: MedianTimes): Cause {
   const { end, choices, attempts } = request;
   switch (end?.outcome) {
     case "answer":
@@ -98,16 +98,16 @@
 function findLateCause(
   choices: readonly ChoiceLine[],
   attempts: readonly AttemptLine[],
-  usual: UsualTimes,
+  usual: MedianTimes,
 ): Cause {
   if (attempts.length !== 1) return "late, sent again";
   const [attempt] = attempts;
   const choice = choices.find(({ server }) => server === attempt.server);
   if (attempt.isFirst) return "late, first run";
-  if ((choice?.use ?? 0) >= FULL_USE) return "late, loaded";
+  if ((choice?.use ?? 0) >= SATURATION) return "late, loaded";
   if (choice === undefined) return "late, other";
-  const slowMs = SLOW_FACTOR * usual.ofService(choice.service);
-  if (usual.ofServer(attempt.server, attempt.time) > slowMs) {
+  const slowMs = SLOW_FACTOR * usual.serviceMedianMs(choice.service);
+  if (usual.serverMedianMs(attempt.server, attempt.time) > slowMs) {
     return "late, slow server";
   }
   return attempt.tookMs > slowMs ? "late, forgotten" : "late, other";
@@ -124,9 +124,11 @@
   if (reason !== "all_full" || last?.uses === undefined) {
     return "refused, other";
   }
-  const others = Object.entries(last.uses)
+  const otherUtilizations = Object.entries(last.uses)
     .filter(([region]) => region !== last.region)
     .map(([, use]) => use);
-  const hasRoom = others.some((use) => use < ROOM_USE);
-  return hasRoom ? "refused, room elsewhere" : "refused, all full";
+  const hasSpareCapacity = otherUtilizations.some((use) =>
+    use < SPARE_CAPACITY_UTILIZATION
+  );
+  return hasSpareCapacity ? "refused, room elsewhere" : "refused, all full";
 }
--- a/src/explain/causes_test.ts
+++ b/src/explain/causes_test.ts
@@ -1,16 +1,16 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
 import { type Cause, findCause } from "./causes.ts";
-import { gatherLines, type LogContent } from "./lines.ts";
+import { type LogContent, parseLogLines } from "./lines.ts";
 import { renderMoves, renderTable } from "./report.ts";
 
-const USUAL = { ofService: () => 100, ofServer: () => 100 };
+const USUAL = { serviceMedianMs: () => 100, serverMedianMs: () => 100 };
 const BASE = { time: 10_000, vm: "vm-1", requestId: "q" };
 
 type Fields = Record<string, unknown>;
 
 function gather(...lines: Fields[]): LogContent {
-  return gatherLines(
+  return parseLogLines(
     lines.map((line) => `0.5 vm-1 ${JSON.stringify({ ...BASE, ...line })}`),
   );
 }
@@ -73,7 +73,7 @@
 }
 
 test("a server that answers all slowly is told from one that forgot", () => {
-  const slow = { ...USUAL, ofServer: () => 900 };
+  const slow = { ...USUAL, serverMedianMs: () => 900 };
   const { requests } = gather(
     ...makeLines({ use: 0.5 }, { tookMs: 950 }, { tookMs: 951 }),
   );
@@ -84,7 +84,7 @@
   const content = gather(
     ...makeLines({ use: 0 }, { tookMs: 90 }, { tookMs: 91 }),
   );
-  gatherLines(["no line of ours", "{cut", '{"msg":"choose"}']);
+  parseLogLines(["no line of ours", "{cut", '{"msg":"choose"}']);
   assert.match(renderTable(content, "service", 9_000), /in time\ns +1$/);
   assert.match(renderTable(content, "window", 5_000), /\n4 +1$/);
 });
--- a/src/explain/ends.ts
+++ b/src/explain/crashes.ts
@@ -11,32 +11,32 @@
 
 /** Requests that are shown. */
 const MAX_ROWS = 10;
-const HEAD = ["request", "servers ended", "cuts", "VMs", "first", "last"];
+const HEADERS = ["request", "servers ended", "cuts", "VMs", "first", "last"];
 
 /**
  * @param content What a log tells.
  * @param firstMs Time from which moments are counted.
  * @returns A table of requests, those first under which most servers ended.
  */
-export function renderEnds({ cuts }: LogContent, firstMs: number): string {
+export function renderCrashes({ cuts }: LogContent, firstMs: number): string {
   const byRequest = new Map<string, CutLine[]>();
   for (const cut of cuts) {
     byRequest.set(cut.request, [...byRequest.get(cut.request) ?? [], cut]);
   }
   const rows = [...byRequest.values()]
-    .map((lines) => ({ lines, ended: countEnded(lines) }))
+    .map((lines) => ({ lines, ended: countCrashedServers(lines) }))
     .sort((a, b) => b.ended - a.ended || b.lines.length - a.lines.length)
     .slice(0, MAX_ROWS)
-    .map(({ lines, ended }) => toRow(lines, ended, firstMs));
-  return renderRows([HEAD, ...rows]);
+    .map(({ lines, ended }) => formatRow(lines, ended, firstMs));
+  return renderRows([HEADERS, ...rows]);
 }
 
-function countEnded(lines: readonly CutLine[]): number {
+function countCrashedServers(lines: readonly CutLine[]): number {
   const ended = lines.filter(({ verdict }) => verdict === "ended");
   return new Set(ended.map(({ server }) => server)).size;
 }
 
-function toRow(
+function formatRow(
   lines: readonly CutLine[],
   ended: number,
   firstMs: number,
--- a/src/explain/ends_test.ts
+++ b/src/explain/crashes_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { renderEnds } from "./ends.ts";
-import { gatherLines } from "./lines.ts";
+import { renderCrashes } from "./crashes.ts";
+import { parseLogLines } from "./lines.ts";
 
 function makeCut(
   request: string,
@@ -23,8 +23,8 @@
 }
 
 test("the request that servers ended under one after the other comes first", () => {
-  const table = renderEnds(
-    gatherLines([
+  const table = renderCrashes(
+    parseLogLines([
       makeCut("beside", "1", 1_000),
       makeCut("deadly", "1", 1_001),
       makeCut("deadly", "2", 2_000),
--- a/src/explain/beliefs.ts
+++ b/src/explain/estimates.ts
@@ -8,26 +8,26 @@
 import { renderRows } from "./rows.ts";
 
 /** One request at one server. */
-interface Run {
+interface ChosenAttempt {
   choice: ChoiceLine;
   attempt: AttemptLine;
 }
 
 /** What is counted for a service. */
-interface Beliefs {
+interface EstimateStats {
   choices: number;
-  believedUse: number;
-  trueUse: number;
+  estimatedUtilization: number;
+  actualUtilization: number;
   /** Answers for objects that the server was taken to know. */
-  known: number;
+  predictedHits: number;
   /** Those of them that took as long as first runs do. */
-  knownAsFirst: number;
+  slowPredictedHits: number;
   serverMs: number;
   /** Of it, for requests that were not answered. */
-  wastedMs: number;
+  unansweredMs: number;
 }
 
-const HEADS = [
+const HEADERS = [
   "service",
   "choices",
   "believed requests/slot",
@@ -41,17 +41,17 @@
  * @returns A table, a line for each service. Loads are right as far as the VMs'
  *   clocks agree, and their logs are complete.
  */
-export function renderBeliefs(content: LogContent): string {
-  const runs = listRuns(content);
+export function renderEstimates(content: LogContent): string {
+  const runs = pairAttempts(content);
   const services = [...new Set(runs.map(({ choice }) => choice.service))];
   const rows = services.sort().map((service) => {
     const own = runs.filter(({ choice }) => choice.service === service);
-    return [service, ...describe(countBeliefs(own))];
+    return [service, ...formatStats(computeStats(own))];
   });
-  return renderRows([HEADS, ...rows]);
+  return renderRows([HEADERS, ...rows]);
 }
 
-function listRuns({ requests }: LogContent): Run[] {
+function pairAttempts({ requests }: LogContent): ChosenAttempt[] {
   return [...requests.values()].flatMap(({ choices, attempts }) =>
     choices.flatMap((choice) => {
       const attempt = attempts.find(({ server }) => server === choice.server);
@@ -60,51 +60,53 @@
   );
 }
 
-function countBeliefs(runs: readonly Run[]): Beliefs {
-  const beliefs: Beliefs = {
+function computeStats(runs: readonly ChosenAttempt[]): EstimateStats {
+  const stats: EstimateStats = {
     choices: runs.length,
-    believedUse: 0,
-    trueUse: 0,
-    known: 0,
-    knownAsFirst: 0,
+    estimatedUtilization: 0,
+    actualUtilization: 0,
+    predictedHits: 0,
+    slowPredictedHits: 0,
     serverMs: 0,
-    wastedMs: 0,
+    unansweredMs: 0,
   };
-  const limitMs = findFirstRunLimit(runs);
-  const trueUses = countTrueUses(runs);
+  const thresholdMs = findCacheMissThresholdMs(runs);
+  const actualByChoice = computeActualUtilization(runs);
   for (const { choice, attempt } of runs) {
-    beliefs.believedUse += choice.use ?? 0;
-    beliefs.trueUse += trueUses.get(choice) ?? 0;
-    beliefs.serverMs += attempt.tookMs;
+    stats.estimatedUtilization += choice.use ?? 0;
+    stats.actualUtilization += actualByChoice.get(choice) ?? 0;
+    stats.serverMs += attempt.tookMs;
     const isAnswered = attempt.outcome === "answer";
-    if (!isAnswered) beliefs.wastedMs += attempt.tookMs;
+    if (!isAnswered) stats.unansweredMs += attempt.tookMs;
     if (!isAnswered || !choice.isKnown) continue;
-    beliefs.known++;
-    if (attempt.tookMs > limitMs) beliefs.knownAsFirst++;
+    stats.predictedHits++;
+    if (attempt.tookMs > thresholdMs) stats.slowPredictedHits++;
   }
-  return beliefs;
+  return stats;
 }
 
 /** @returns Requests a slot that ran at its server when each was chosen. */
-function countTrueUses(runs: readonly Run[]): Map<ChoiceLine, number> {
+function computeActualUtilization(
+  runs: readonly ChosenAttempt[],
+): Map<ChoiceLine, number> {
   const events = runs.flatMap(({ choice, attempt }) => [
     { atMs: choice.time, choice, change: 1 },
     { atMs: attempt.time, choice, change: -1 },
   ]);
   events.sort((a, b) => a.atMs - b.atMs || a.change - b.change);
   const running = new Map<string, number>();
-  const uses = new Map<ChoiceLine, number>();
+  const utilizations = new Map<ChoiceLine, number>();
   for (const { choice, change } of events) {
     const server = choice.server ?? "";
     const before = running.get(server) ?? 0;
-    if (change > 0) uses.set(choice, before / (choice.slots ?? 1));
+    if (change > 0) utilizations.set(choice, before / (choice.slots ?? 1));
     running.set(server, before + change);
   }
-  return uses;
+  return utilizations;
 }
 
 /** Between the medians of first runs and of those of known objects. */
-function findFirstRunLimit(runs: readonly Run[]): number {
+function findCacheMissThresholdMs(runs: readonly ChosenAttempt[]): number {
   const getMedianMs = (isFirst: boolean) => {
     const times = runs
       .filter(({ attempt }) =>
@@ -117,12 +119,18 @@
   return Math.sqrt(getMedianMs(true) * getMedianMs(false));
 }
 
-function describe(beliefs: Beliefs): string[] {
-  const { choices, known, knownAsFirst, serverMs, wastedMs } = beliefs;
+function formatStats(stats: EstimateStats): string[] {
+  const {
+    choices,
+    predictedHits: known,
+    slowPredictedHits: knownAsFirst,
+    serverMs,
+    unansweredMs: wastedMs,
+  } = stats;
   return [
     String(choices),
-    (beliefs.believedUse / choices).toFixed(2),
-    (beliefs.trueUse / choices).toFixed(2),
+    (stats.estimatedUtilization / choices).toFixed(2),
+    (stats.actualUtilization / choices).toFixed(2),
     formatShare(knownAsFirst, known),
     formatShare(wastedMs, serverMs),
   ];
--- a/src/explain/beliefs_test.ts
+++ b/src/explain/estimates_test.ts
@@ -1,7 +1,7 @@
 import * as assert from "uvu/assert";
 import { test } from "uvu";
-import { renderBeliefs } from "./beliefs.ts";
-import { gatherLines } from "./lines.ts";
+import { renderEstimates } from "./estimates.ts";
+import { parseLogLines } from "./lines.ts";
 
 type Fields = Record<string, unknown>;
 
@@ -27,7 +27,7 @@
 }
 
 test("believed load stands beside what ran, and first runs beside known ones", () => {
-  const table = renderBeliefs(gatherLines([
+  const table = renderEstimates(parseLogLines([
     ...makeRun("a", [0, 800], { use: 0, isKnown: false }, { isFirst: true }),
     ...makeRun("b", [100, 300], { use: 0, isKnown: true }),
     ...makeRun("c", [200, 1_000], { use: 0.5, isKnown: true }),
@@ -41,7 +41,7 @@
 });
 
 test("a log without requests makes a table without lines", () => {
-  assert.is(renderBeliefs(gatherLines([])).split("\n").length, 1);
+  assert.is(renderEstimates(parseLogLines([])).split("\n").length, 1);
 });
 
 test.run();
--- a/src/explain/lines.ts
+++ b/src/explain/lines.ts
@@ -5,10 +5,10 @@
  */
 import * as z from "zod";
 
-const base = { time: z.number(), vm: z.string() };
+const commonFields = { time: z.number(), vm: z.string() };
 
 const choiceSchema = z.object({
-  ...base,
+  ...commonFields,
   requestId: z.string(),
   service: z.string(),
   /** Absent where no region could serve. */
@@ -25,7 +25,7 @@
 });
 
 const attemptSchema = z.object({
-  ...base,
+  ...commonFields,
   requestId: z.string(),
   server: z.string(),
   tookMs: z.number(),
@@ -35,7 +35,7 @@
 });
 
 const endSchema = z.object({
-  ...base,
+  ...commonFields,
   requestId: z.string(),
   tookMs: z.number().default(0),
   targetMs: z.number().default(Infinity),
@@ -44,7 +44,7 @@
 });
 
 const moveSchema = z.object({
-  ...base,
+  ...commonFields,
   service: z.string(),
   moved: z.number(),
   /** Part of the requests whose servers were lost, which no pace holds for. */
@@ -52,7 +52,7 @@
 });
 
 const cutSchema = z.object({
-  ...base,
+  ...commonFields,
   requestId: z.string(),
   /** The same for each repeat of the request. */
   request: z.string(),
@@ -94,7 +94,7 @@
  *   brace is skipped, as are lines that are none of a gateway's.
  * @returns What they tell of requests.
  */
-export function gatherLines(lines: Iterable<string>): LogContent {
+export function parseLogLines(lines: Iterable<string>): LogContent {
   const content: LogContent = { requests: new Map(), moves: [], cuts: [] };
   for (const line of lines) addLine(content, parseLine(line));
   return content;
@@ -106,42 +106,42 @@
 ): void {
   switch (fields?.msg) {
     case "choose": {
-      const choice = read(choiceSchema, fields);
+      const choice = parseAs(choiceSchema, fields);
       if (choice === undefined) return;
-      getRequest(content, choice.requestId).choices.push(choice);
+      getOrAddRequest(content, choice.requestId).choices.push(choice);
       return;
     }
     case "attempt ended": {
-      const attempt = read(attemptSchema, fields);
+      const attempt = parseAs(attemptSchema, fields);
       if (attempt === undefined) return;
-      getRequest(content, attempt.requestId).attempts.push(attempt);
+      getOrAddRequest(content, attempt.requestId).attempts.push(attempt);
       return;
     }
     case "request ended": {
-      const end = read(endSchema, fields);
-      if (end !== undefined) getRequest(content, end.requestId).end = end;
+      const end = parseAs(endSchema, fields);
+      if (end !== undefined) getOrAddRequest(content, end.requestId).end = end;
       return;
     }
     case "region shares moved": {
-      const move = read(moveSchema, fields);
+      const move = parseAs(moveSchema, fields);
       if (move !== undefined) content.moves.push(move);
       return;
     }
     case "connection cut": {
-      const cut = read(cutSchema, fields);
+      const cut = parseAs(cutSchema, fields);
       if (cut !== undefined) content.cuts.push(cut);
     }
   }
 }
 
 /** Lines that lack fields are other programs' or of another version. */
-function read<T>(schema: z.ZodType<T>, fields: unknown): T | undefined {
+function parseAs<T>(schema: z.ZodType<T>, fields: unknown): T | undefined {
   return schema.safeParse(fields).data;
 }
 
-function getRequest(content: LogContent, requestId: string): RequestLines {
-  const known = content.requests.get(requestId);
-  if (known !== undefined) return known;
+function getOrAddRequest(content: LogContent, requestId: string): RequestLines {
+  const existing = content.requests.get(requestId);
+  if (existing !== undefined) return existing;
   const request = { choices: [], attempts: [], end: undefined };
   content.requests.set(requestId, request);
   return request;
--- a/src/explain/report.ts
+++ b/src/explain/report.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type Cause, CAUSES, findCause, type UsualTimes } from "./causes.ts";
+import { type Cause, CAUSES, findCause, type MedianTimes } from "./causes.ts";
 import type { LogContent, MoveLine, RequestLines } from "./lines.ts";
 import { renderRows } from "./rows.ts";
 
@@ -26,17 +26,17 @@
   kind: GroupKind,
   firstMs: number,
 ): string {
-  const usual = createUsualTimes(content);
+  const medians = createMedianTimes(content);
   const groups = new Map<string, Counts>();
   for (const request of content.requests.values()) {
     if (request.end === undefined) continue;
-    const group = nameGroup(request, kind, firstMs);
+    const group = getGroupName(request, kind, firstMs);
     const counts = groups.get(group) ?? new Map();
-    const cause = findCause(request, usual);
+    const cause = findCause(request, medians);
     counts.set(cause, (counts.get(cause) ?? 0) + 1);
     groups.set(group, counts);
   }
-  const seen = CAUSES.filter((cause) =>
+  const causes = CAUSES.filter((cause) =>
     [...groups.values()].some((counts) => counts.has(cause))
   );
   const names = [...groups.keys()].sort((a, b) =>
@@ -44,9 +44,9 @@
   );
   const rows = names.map((name) => [
     name,
-    ...seen.map((cause) => String(groups.get(name)?.get(cause) ?? 0)),
+    ...causes.map((cause) => String(groups.get(name)?.get(cause) ?? 0)),
   ]);
-  return renderRows([[kind, ...seen], ...rows]);
+  return renderRows([[kind, ...causes], ...rows]);
 }
 
 /**
@@ -78,7 +78,7 @@
   ]);
 }
 
-function nameGroup(
+function getGroupName(
   { end, choices }: RequestLines,
   kind: GroupKind,
   firstMs: number,
@@ -90,7 +90,7 @@
 }
 
 /** Medians of answered attempts that were not the first for their object. */
-function createUsualTimes({ requests }: LogContent): UsualTimes {
+function createMedianTimes({ requests }: LogContent): MedianTimes {
   const byService = new Map<string, number[]>();
   const byServer = new Map<string, number[]>();
   const add = (map: Map<string, number[]>, key: string, tookMs: number) => {
@@ -102,17 +102,17 @@
     for (const { outcome, isFirst, server, tookMs, time } of attempts) {
       if (outcome !== "answer" || isFirst) continue;
       add(byService, choices[0]?.service ?? "none", tookMs);
-      add(byServer, nameMoment(server, time), tookMs);
+      add(byServer, makeSecondKey(server, time), tookMs);
     }
   }
   return {
-    ofService: (service) => getMedian(byService.get(service) ?? []),
-    ofServer: (server, time) =>
-      getMedian(byServer.get(nameMoment(server, time)) ?? []),
+    serviceMedianMs: (service) => getMedian(byService.get(service) ?? []),
+    serverMedianMs: (server, time) =>
+      getMedian(byServer.get(makeSecondKey(server, time)) ?? []),
   };
 }
 
-function nameMoment(server: string, time: number): string {
+function makeSecondKey(server: string, time: number): string {
   return `${server} ${Math.floor(time / 1_000)}`;
 }
 
--- a/src/load/control_cost.ts
+++ b/src/load/control_cost.ts
@@ -9,7 +9,7 @@
 import { getServiceKey } from "../config/rows.ts";
 import { createDocumentStore } from "../config/store.ts";
 import type { LoadSettings } from "../deployment/types.ts";
-import type { ProcessUse } from "../operator/routes.ts";
+import type { ProcessUsage } from "../operator/routes.ts";
 import { createPlatformClient } from "../platform/http_client.ts";
 import { KEY_HEADER } from "../runtime/access.ts";
 import { type Clock, pause } from "../runtime/clock.ts";
@@ -60,7 +60,7 @@
   role: "steer" | "entry";
   atMs: number;
   /** CPU time and memory of the process. */
-  use: ProcessUse;
+  use: ProcessUsage;
   sentBytes: number;
   receivedBytes: number;
 }
@@ -128,7 +128,7 @@
     headers: { [KEY_HEADER]: settings.operatorKey },
   });
   const { process: use, control } = await response.body.json() as {
-    process: ProcessUse;
+    process: ProcessUsage;
     control: {
       self: { id: string; role: "steer" | "entry" };
       linkTraffic: Pick<
--- a/src/operator/arguments.ts
+++ b/src/operator/arguments.ts
@@ -10,7 +10,7 @@
 /** Options of all commands. */
 export interface CommandOptions {
   /** Words after the command. */
-  words: string[];
+  positionals: string[];
   json: boolean;
   platformUrl: string | undefined;
   operator: string | undefined;
@@ -51,7 +51,7 @@
   });
   const { env } = process;
   return {
-    words: positionals,
+    positionals: positionals,
     json: values.json,
     platformUrl: values.platform ?? env.HAWTHORNGW_PLATFORM,
     operator: values.operator ?? env.HAWTHORNGW_OPERATOR,
@@ -59,10 +59,10 @@
     key: values.key ?? env.HAWTHORNGW_KEY,
     author: values.author ?? env.USER ?? "unknown",
     set: values.set,
-    from: values.from === undefined ? undefined : toNumber(values.from),
+    from: values.from === undefined ? undefined : parseNumber(values.from),
     startsAt: values["starts-at"],
     endsAt: values["ends-at"],
-    timeoutS: toNumber(values["timeout-s"]),
+    timeoutS: parseNumber(values["timeout-s"]),
   };
 }
 
@@ -89,7 +89,7 @@
   });
 }
 
-function toNumber(text: string): number {
+function parseNumber(text: string): number {
   const number = Number(text);
   if (Number.isFinite(number)) return number;
   throw usageError(`${text} is not a number`);
--- a/src/operator/cli.ts
+++ b/src/operator/cli.ts
@@ -71,20 +71,21 @@
 
 const COMMANDS: Record<string, Command> = {
   check: checkCommand,
-  get: (options, store) => getCommand(options, need(store)),
-  put: (options, store) => putCommand(options, need(store)),
-  edit: (options, store) => editCommand(options, need(store)),
-  diff: (options, store) => diffCommand(options, need(store)),
-  history: (options, store) => historyCommand(options, need(store)),
-  drain: (options, store) => drainCommand(options, need(store), true),
-  undrain: (options, store) => drainCommand(options, need(store), false),
+  get: (options, store) => getCommand(options, requireStore(store)),
+  put: (options, store) => putCommand(options, requireStore(store)),
+  edit: (options, store) => editCommand(options, requireStore(store)),
+  diff: (options, store) => diffCommand(options, requireStore(store)),
+  history: (options, store) => historyCommand(options, requireStore(store)),
+  drain: (options, store) => drainCommand(options, requireStore(store), true),
+  undrain: (options, store) =>
+    drainCommand(options, requireStore(store), false),
   watch: watchCommand,
   status: statusCommand,
   dump: dumpCommand,
   lookup: lookupCommand,
 };
 
-function need(store: DocumentStore | undefined): DocumentStore {
+function requireStore(store: DocumentStore | undefined): DocumentStore {
   return requireValue(store, "--platform or HAWTHORNGW_PLATFORM");
 }
 
@@ -119,7 +120,7 @@
     return EXIT_CODES.usage;
   }
   try {
-    return await runParsed(command, parseCommandOptions(rest), {
+    return await executeCommand(command, parseCommandOptions(rest), {
       clock,
       output,
     });
@@ -129,7 +130,7 @@
   }
 }
 
-async function runParsed(
+async function executeCommand(
   command: Command,
   options: CommandOptions,
   { clock, output }: { clock: Clock; output: Output },
--- a/src/operator/cli_test.ts
+++ b/src/operator/cli_test.ts
@@ -37,14 +37,14 @@
   context.run = async (...args) => {
     let out = "";
     let error = "";
-    const where = [
+    const connectionArgs = [
       `--platform=${load.platformUrl}`,
       `--operator=${load.operators[0]}`,
       `--steer=${load.steers[0].caller}`,
       `--key=${load.operatorKey}`,
       "--author=ann",
     ];
-    const code = await runCommand([...args, ...where], clock, {
+    const code = await runCommand([...args, ...connectionArgs], clock, {
       out: (text) => out += text,
       error: (text) => error += text,
     });
--- a/src/operator/documents.ts
+++ b/src/operator/documents.ts
@@ -37,13 +37,16 @@
 }
 
 /** The document's name is its `service` field; the fleet's has none. */
-function getNameOf(text: string): string {
+function getDocumentName(text: string): string {
   const value = parse(text) as { service?: unknown } | undefined;
   return typeof value?.service === "string" ? value.service : "fleet";
 }
 
-function check(source: DocumentSource, fleet: FleetDocument | undefined) {
-  return getNameOf(source.text) === "fleet"
+function checkDocument(
+  source: DocumentSource,
+  fleet: FleetDocument | undefined,
+) {
+  return getDocumentName(source.text) === "fleet"
     ? checkFleet(source)
     : checkService(source, fleet);
 }
@@ -73,7 +76,7 @@
  * @returns Problems and warnings.
  */
 export async function checkCommand(
-  { words }: CommandOptions,
+  { positionals: words }: CommandOptions,
   store: DocumentStore | undefined,
 ): Promise<CommandResult> {
   if (words.length === 0) throw usageError("FILE is missing");
@@ -81,7 +84,7 @@
   const problems: DocumentProblem[] = [];
   const warnings: DocumentProblem[] = [];
   for (const file of words) {
-    check({ file, text: readFile(file) }, fleet).match(
+    checkDocument({ file, text: readFile(file) }, fleet).match(
       (checked) => warnings.push(...checked.warnings),
       (found) => problems.push(...found),
     );
@@ -105,7 +108,7 @@
  * @returns The document.
  */
 export async function getCommand(
-  { words }: CommandOptions,
+  { positionals: words }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
   const name = requireValue(words[0], "NAME");
@@ -130,9 +133,9 @@
   options: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  if (options.words.length === 0) throw usageError("FILE is missing");
+  if (options.positionals.length === 0) throw usageError("FILE is missing");
   const results: CommandResult[] = [];
-  for (const file of options.words) {
+  for (const file of options.positionals) {
     const text = readFile(file);
     const result = await putText({ file, text }, options, store);
     results.push(result);
@@ -150,7 +153,7 @@
   { author, from }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const checked = check(source, await readFleet(store));
+  const checked = checkDocument(source, await readFleet(store));
   if (checked.isErr()) {
     return {
       text: checked.error.map((problem) => `error: ${formatProblem(problem)}`)
@@ -159,21 +162,21 @@
       exitCode: EXIT_CODES.usage,
     };
   }
-  const name = getNameOf(source.text);
+  const name = getDocumentName(source.text);
   const key = getDocumentKey(name);
   const editedFrom = from ?? unwrap(await store.read(key)).rowVersion;
   const { text } = source;
   const put = unwrap(
     await store.put({ key, text, author, baseRowVersion: editedFrom }),
   );
-  return describePut(put, {
+  return formatPutResult(put, {
     name,
     text,
     warnings: checked.value.warnings,
   });
 }
 
-function describePut(
+function formatPutResult(
   put: PutOutcome,
   { name, text, warnings }: {
     name: string;
@@ -226,19 +229,19 @@
   options: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(options.words[0], "NAME");
+  const name = requireValue(options.positionals[0], "NAME");
   if (options.set.length === 0) throw usageError("--set PATH=VALUE is missing");
   return editText(name, options, {
     store,
     change: (text) =>
       options.set.reduce((edited, pair) => {
-        const { path, value } = parsePair(pair);
+        const { path, value } = parseAssignment(pair);
         return applyEdits(edited, modify(edited, path, value, FORMATTING));
       }, text),
   });
 }
 
-function parsePair(pair: string): { path: JSONPath; value: unknown } {
+function parseAssignment(pair: string): { path: JSONPath; value: unknown } {
   const at = pair.indexOf("=");
   if (at < 1) throw usageError(`"${pair}" is not PATH=VALUE`);
   const path = pair.slice(0, at).split(/[.[\]]+/).filter((part) => part !== "")
@@ -262,15 +265,15 @@
  *
  * @param options Words are service, scope and name.
  * @param store The documents.
- * @param isDrained Whether to drain or to take the drain back.
+ * @param shouldDrain Whether to drain or to take the drain back.
  * @returns What was put.
  */
 export function drainCommand(
   options: CommandOptions,
   store: DocumentStore,
-  isDrained: boolean,
+  shouldDrain: boolean,
 ): Promise<CommandResult> {
-  const [service, scopeWord, target] = options.words;
+  const [service, scopeWord, target] = options.positionals;
   const scope = SCOPES[requireValue(scopeWord, "SCOPE")];
   if (scope === undefined) {
     const allowed = Object.keys(SCOPES).join(", ");
@@ -285,7 +288,7 @@
         drain.scope !== scope || drain.name !== name
       );
       const { startsAt, endsAt } = options;
-      const next = isDrained
+      const next = shouldDrain
         ? [...others, { scope, name, startsAt, endsAt }]
         : others;
       return applyEdits(text, modify(text, ["drains"], next, FORMATTING));
@@ -301,7 +304,7 @@
  * @returns The versions.
  */
 export async function historyCommand(
-  { words }: CommandOptions,
+  { positionals: words }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
   const name = requireValue(words[0], "NAME");
@@ -324,7 +327,7 @@
  * @returns The difference.
  */
 export async function diffCommand(
-  { words }: CommandOptions,
+  { positionals: words }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
   const name = requireValue(words[0], "NAME");
--- a/src/operator/live.ts
+++ b/src/operator/live.ts
@@ -12,15 +12,15 @@
 import type { CommandResult } from "./documents.ts";
 import type { StatusAnswer } from "./routes.ts";
 
-const TIMEOUT_MS = 3_000;
-const WATCH_PERIOD_MS = 200;
+const REQUEST_TIMEOUT_MS = 3_000;
+const WATCH_INTERVAL_MS = 200;
 
-async function ask(
+async function fetchJson(
   url: string,
   headers: Record<string, string> = {},
 ): Promise<{ status: number; body: unknown }> {
   try {
-    const signal = AbortSignal.timeout(TIMEOUT_MS);
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT_MS);
     const response = await request(url, { headers, signal });
     return { status: response.statusCode, body: await response.body.json() };
   } catch (cause) {
@@ -33,14 +33,14 @@
   }
 }
 
-async function askOperator(
+async function fetchOperatorJson(
   options: CommandOptions,
   address: string,
   path: string,
 ): Promise<unknown> {
   const key = requireValue(options.key, "--key or HAWTHORNGW_KEY");
   const url = `http://${address}${path}`;
-  const { status, body } = await ask(url, { [KEY_HEADER]: key });
+  const { status, body } = await fetchJson(url, { [KEY_HEADER]: key });
   if (status === 200) return body;
   throw new StepError((body as { detail?: string }).detail ?? String(status), {
     step: "operator.ask",
@@ -54,7 +54,11 @@
     options.operator,
     "--operator or HAWTHORNGW_OPERATOR",
   );
-  return await askOperator(options, address, "/v1/status") as StatusAnswer;
+  return await fetchOperatorJson(
+    options,
+    address,
+    "/v1/status",
+  ) as StatusAnswer;
 }
 
 /**
@@ -97,8 +101,8 @@
 export async function watchCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const name = requireValue(options.words[0], "NAME");
-  const wanted = Number(requireValue(options.words[1], "NUMBER"));
+  const name = requireValue(options.positionals[0], "NAME");
+  const wanted = Number(requireValue(options.positionals[1], "NUMBER"));
   if (!Number.isInteger(wanted)) throw usageError("NUMBER is not a number");
   const endMs = Date.now() + options.timeoutS * 1_000;
   for (;;) {
@@ -112,7 +116,7 @@
         exitCode: isDone ? EXIT_CODES.ok : EXIT_CODES.failure,
       };
     }
-    await sleep(WATCH_PERIOD_MS);
+    await sleep(WATCH_INTERVAL_MS);
   }
 }
 
@@ -128,8 +132,8 @@
   for (const domain of status.domains) {
     all += domain.members;
     if (document === undefined || document.number < wanted) continue;
-    const isWhole = domain.lowestVersion >= document.rowVersion;
-    have += isWhole ? domain.members : domain.members - domain.behindCount;
+    const isUpToDate = domain.lowestVersion >= document.rowVersion;
+    have += isUpToDate ? domain.members : domain.members - domain.behindCount;
   }
   return { have, all };
 }
@@ -143,8 +147,8 @@
 export async function dumpCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const address = requireValue(options.words[0], "ADDRESS");
-  const dump = await askOperator(options, address, "/v1/dump");
+  const address = requireValue(options.positionals[0], "ADDRESS");
+  const dump = await fetchOperatorJson(options, address, "/v1/dump");
   return {
     text: JSON.stringify(dump, null, 2),
     json: dump,
@@ -161,11 +165,11 @@
 export async function lookupCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const service = requireValue(options.words[0], "SERVICE");
-  const client = requireValue(options.words[1], "CLIENT_IP");
+  const service = requireValue(options.positionals[0], "SERVICE");
+  const client = requireValue(options.positionals[1], "CLIENT_IP");
   const steer = requireValue(options.steer, "--steer or HAWTHORNGW_STEER");
   const path = `/v1/lookup/${encodeURIComponent(service)}?client=${client}`;
-  const { status, body } = await ask(`http://${steer}${path}`);
+  const { status, body } = await fetchJson(`http://${steer}${path}`);
   return {
     text: JSON.stringify(body, null, 2),
     json: body,
--- a/src/operator/routes.ts
+++ b/src/operator/routes.ts
@@ -14,7 +14,7 @@
 } from "../runtime/http_server.ts";
 
 /** What the operator address shows. */
-export interface OperatorOptions {
+export interface OperatorServerOptions {
   address: string;
   key: string;
   agent: ControlAgent;
@@ -55,8 +55,8 @@
  * @param options See there.
  * @returns The listening server.
  */
-export function openOperatorAddress(
-  options: OperatorOptions,
+export function serveOperatorApi(
+  options: OperatorServerOptions,
 ): Promise<HttpServer> {
   const { address, key, agent, dump } = options;
   const router = createRouter();
@@ -75,13 +75,13 @@
 }
 
 /** What the process has used since it started. */
-export interface ProcessUse {
+export interface ProcessUsage {
   cpuMs: number;
   rssBytes: number;
   uptimeS: number;
 }
 
-function dumpProcess(): ProcessUse {
+function dumpProcess(): ProcessUsage {
   const { user, system } = process.cpuUsage();
   return {
     cpuMs: (user + system) / 1_000,
