--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,5 +1,5 @@
 /**
- * Ways of keeping limits over all VMs, on the same loads.
+ * Compares strategies for enforcing rate limits across all VMs on the same loads.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   ratePerS: 200,
 }];
 
-/** Plays each load of each fleet in each way. */
+/** Simulates every load of every fleet with every strategy. */
 export function benchLimits(): void {
   const rows: Row[] = [];
   for (const { vms, ratePerS } of FLEETS) {
@@ -29,13 +29,13 @@
         ratePerS: scenario.ratePerS,
         load: scenario.name,
       };
-      for (const way of STRATEGIES) {
-        const { servedShare, maxBoundRatio: maxBoundRatio } = simulateLimits(
-          way,
+      for (const strategy of STRATEGIES) {
+        const { servedShare, maxBoundRatio } = simulateLimits(
+          strategy,
           scenario,
         );
-        row[`${way}: served`] = Number(servedShare.toFixed(3));
-        row[`${way}: most`] = Number(maxBoundRatio.toFixed(3));
+        row[`${strategy}: served`] = Number(servedShare.toFixed(3));
+        row[`${strategy}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
@@ -56,23 +56,23 @@
 ];
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** Plays loads of a server with a rate limit, in each way. */
+/** Simulates loads of a server with a rate limit with every strategy. */
 export function benchServerLimits(): void {
   const rows: Row[] = [];
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       const row: Row = { vms, ratePerS, load: scenario.name };
-      for (const way of SERVER_STRATEGIES) {
+      for (const strategy of SERVER_STRATEGIES) {
         const results = SEEDS.map((seed) =>
-          simulateLimits(way, scenario, seed)
+          simulateLimits(strategy, scenario, seed)
         );
         const served = results.reduce((sum, one) => sum + one.served, 0);
         const allowed = results.reduce((sum, one) => sum + one.allowed, 0);
         const maxBoundRatio = Math.max(
           ...results.map((one) => one.maxBoundRatio),
         );
-        row[`${way}: served`] = Number((served / allowed).toFixed(3));
-        row[`${way}: most`] = Number(maxBoundRatio.toFixed(3));
+        row[`${strategy}: served`] = Number((served / allowed).toFixed(3));
+        row[`${strategy}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
--- a/bench/mod.ts
+++ b/bench/mod.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench [NAME...]`: measures; nothing here is asserted.
+ * `npm run bench [NAME...]`: runs benchmarks and prints tables; asserts nothing.
  *
  * @module
  */
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,5 +1,5 @@
 /**
- * Prints tables of figures and keeps them as JSON.
+ * Prints tables of results and writes them as JSON and Markdown.
  *
  * @module
  */
@@ -9,7 +9,9 @@
 export type Row = Record<string, string | number>;
 
 /**
- * @param rows Rows with the same fields.
+ * Formats a table.
+ *
+ * @param rows Rows with the same columns.
  * @returns A Markdown table.
  */
 export function formatTable(rows: readonly Row[]): string {
@@ -35,7 +37,7 @@
  * Prints a table and writes it to `run/<name>.json` and `run/<name>.md`.
  *
  * @param name Name of the table.
- * @param title What it shows.
+ * @param title Heading of the table.
  * @param rows Its rows.
  */
 export function publish(name: string, title: string, rows: Row[]): void {
--- a/bench/request_path.ts
+++ b/bench/request_path.ts
@@ -1,7 +1,7 @@
 /**
- * The request path under a fake clock: ways to choose a backend server, and the
- * naive version (round robin, no admission, retry on any error), at several
- * loads and faults, on the same arrivals.
+ * Benchmarks the request path with a fake clock: policies for choosing a backend
+ * server, and a naive gateway (round robin, no admission control, retry on any
+ * error), on the same arrivals at several loads and faults.
  *
  * @module
  */
@@ -41,9 +41,13 @@
 } from "../src/runtime/random.ts";
 import { publish, type Row } from "./report.ts";
 
+/** Time over which requests arrive. */
 const RUN_MS = 30_000;
+/** Requests that start earlier aren't counted. */
 const WARM_UP_MS = 5_000;
+/** Constant part of the service time; the rest is exponential. */
 const FIXED_SERVICE_SHARE = 0.6;
+/** Offered load as a share of the capacity. */
 const LOADS = [0.5, 0.8, 0.95, 1.3];
 
 type Fault = "none" | "one slow" | "cold half" | "draining third";
@@ -56,9 +60,10 @@
   coldRequests: number;
 }
 
-/** Servers that queue without bound, as many do, and never shed. */
+/** Servers with unbounded queues that never shed load. */
 class QueueingBackends extends BackendClient {
   readonly servers = new Map<string, Server>();
+  /** Requests that arrived when all slots were busy. */
   queuedRequests = 0;
   readonly #clock: FakeClock;
   readonly #random: Random;
@@ -153,12 +158,12 @@
 }
 
 function createSteeringSetup(
-  made: BenchCase,
+  benchCase: BenchCase,
   makePolicy: (r: Random) => ChoicePolicy,
 ) {
   const clock = createFakeClock();
   const random = createRandom(7);
-  const { document, fault } = made;
+  const { document, fault } = benchCase;
   const backends = new QueueingBackends(document, { clock, random });
   const policy = makePolicy(createRandom(11));
   const crashCheck: CrashCheck = { check: () => Promise.resolve("runs") };
@@ -191,7 +196,7 @@
   return { clock, backends, send };
 }
 
-/** Round robin over servers that are not drained, and again on any error. */
+/** Round robin over servers that aren't drained; retries on any error. */
 function createNaiveSetup({ document, fault }: BenchCase): Setup {
   const clock = createFakeClock();
   const random = createRandom(7);
@@ -229,8 +234,8 @@
   histogram: Histogram;
 }
 
-async function measure(made: BenchCase, setup: Setup): Promise<Row> {
-  const { document, load, fault } = made;
+async function measure(benchCase: BenchCase, setup: Setup): Promise<Row> {
+  const { document, load, fault } = benchCase;
   const { clock, backends, send } = setup;
   const servers = [...backends.servers.values()];
   if (fault === "one slow") servers[0].slowFactor = 10;
@@ -247,7 +252,7 @@
   let nextMs = 0;
   for (let nowMs = 0; nowMs < RUN_MS; nowMs += 1) {
     while (nextMs <= nowMs) {
-      pending.push(sendOne(made, setup, { random, tally, send }));
+      pending.push(sendOne(benchCase, setup, { random, tally, send }));
       nextMs += drawExponential(random, 1_000 / (capacity * load));
     }
     clock.advance(1);
@@ -313,7 +318,7 @@
   ["expected latency", (random) => new ExpectedLatencyChoice(random)],
 ];
 
-/** All servers of a service in one failure domain, as one entry sees them. */
+/** @returns The document of a service with all servers in one failure domain. */
 function makeDocument(
   service: Deployment["services"][number],
 ): ServiceDocument {
@@ -333,7 +338,7 @@
   });
 }
 
-/** Runs all cases and prints two tables. */
+/** Runs all cases and prints the table. */
 export async function benchRequestPath(): Promise<void> {
   const rows: Row[] = [];
   const cases: [number, Fault][] = [
@@ -347,16 +352,16 @@
     const service = deployment.services[1];
     const document = makeDocument(service);
     for (const [load, fault] of cases) {
-      const made: BenchCase = { deployment, document, load, fault };
+      const benchCase: BenchCase = { deployment, document, load, fault };
       const shared = { deployment: name, load: `${load * 100}%`, fault };
       for (const [policy, makePolicy] of POLICIES) {
         const stats = await measure(
-          made,
-          createSteeringSetup(made, makePolicy),
+          benchCase,
+          createSteeringSetup(benchCase, makePolicy),
         );
         rows.push({ ...shared, way: policy, ...stats });
       }
-      const naive = await measure(made, createNaiveSetup(made));
+      const naive = await measure(benchCase, createNaiveSetup(benchCase));
       rows.push({ ...shared, way: "naive", ...naive });
     }
   }
--- a/bench/slopes/lookups.ts
+++ b/bench/slopes/lookups.ts
@@ -1,5 +1,5 @@
 /**
- * Cost of look-ups and of the blocks that they find.
+ * Measures look-ups and the table of client blocks.
  *
  * @module
  */
@@ -25,7 +25,7 @@
   }));
 }
 
-/** @returns Rows of the table of client blocks. */
+/** @returns Results for the table of client blocks. */
 export function measureBlocks(): Row[] {
   const sizes = [20_000, 80_000, 160_000, 330_000];
   const memory = sizes.map((size) => {
@@ -47,7 +47,7 @@
   ];
 }
 
-/** @returns Rows of look-ups. */
+/** @returns Results for look-ups. */
 export function measureLookup(): Row[] {
   const table = createBlockTable(makeBlocks(330_000));
   const first = parseIpv4("10.0.0.0")!;
--- a/bench/slopes/members.ts
+++ b/bench/slopes/members.ts
@@ -1,11 +1,14 @@
 /**
- * Members of a fleet to measure with.
+ * Generates members of a fleet for the benchmarks.
  *
  * @module
  */
 import type { Member } from "../../src/membership/types.ts";
 
-/** @returns One of many members, spread over failure domains. */
+/**
+ * @param index Number of the member.
+ * @returns A member; members are spread over 87 failure domains.
+ */
 export function makeMember(index: number): Member {
   const domain = index % 87;
   return {
--- a/bench/slopes/messages.ts
+++ b/bench/slopes/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Size and cost of messages between processes.
+ * Measures the size and the CPU time of messages between processes.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { makeRow, measureTimeUs } from "./points.ts";
 import { makeMember } from "./members.ts";
 
-/** @returns Rows of messages. */
+/** @returns Results for messages. */
 export function measureMessages(): Row[] {
   const measureEncodedBytes = (
     make: (size: number) => PeerMessage,
--- a/bench/slopes/mod.ts
+++ b/bench/slopes/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Cost per unit against size, for `docs/CAPACITY.md`: at least four sizes each,
- * with a straight-line fit.
+ * Cost per unit as a function of size, for `docs/CAPACITY.md`: at least four sizes
+ * each, with a linear fit.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { measurePlanner } from "./planner.ts";
 import { measureState } from "./state.ts";
 
-/** Measures all slopes and prints the table. */
+/** Runs all measurements and prints the table. */
 export function benchSlopes(): void {
   publish("slopes", "Cost per unit against size", [
     ...measureBlocks(),
--- a/bench/slopes/planner.ts
+++ b/bench/slopes/planner.ts
@@ -1,5 +1,5 @@
 /**
- * Cost of deciding on plans.
+ * Measures the time to decide on a plan.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   };
 }
 
-/** @returns Rows of the planner. */
+/** @returns Results for the planner. */
 export function measurePlanner(): Row[] {
   const document = {
     service: "s",
--- a/bench/slopes/points.ts
+++ b/bench/slopes/points.ts
@@ -1,5 +1,5 @@
 /**
- * Measuring at several sizes, and the straight line through the points.
+ * Measures time and memory, and fits a line through values at several sizes.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   value: number;
 }
 
-/** Least squares; the error is the largest miss as a share of the value. */
+/** Fits a line by least squares; `error` is the largest relative residual. */
 function fitLine(points: readonly Point[]) {
   const n = points.length;
   const meanX = points.reduce((sum, { size }) => sum + size, 0) / n;
@@ -41,10 +41,12 @@
 }
 
 /**
+ * Makes a table row with a linear fit.
+ *
  * @param what What was measured.
- * @param unit Its unit, and what it grows with.
- * @param points Values at sizes.
- * @returns The row of the table, with a straight line fitted.
+ * @param unit Unit of the values, and the unit of the size.
+ * @param points Measured values by size.
+ * @returns The row.
  */
 export function makeRow(what: string, unit: string, points: Point[]): Row {
   const { slope, base, error } = fitLine(points);
@@ -60,7 +62,11 @@
   };
 }
 
-/** @returns Microseconds that a call takes, the best of three runs. */
+/**
+ * @param calls Calls per round.
+ * @param run Function to measure.
+ * @returns Time per call in us, the best of three rounds.
+ */
 export function measureTimeUs(
   calls: number,
   run: (index: number) => void,
@@ -74,9 +80,12 @@
   return best;
 }
 
-/** @returns Bytes that what is made holds on to, buffers included. */
+/**
+ * @param make Creates the value to measure.
+ * @returns Bytes that the value retains, buffers included.
+ */
 export function measureBytes(make: () => unknown): number {
-  // What earlier measurements left behind must be gone before the first look.
+  // Garbage of earlier measurements must be collected before the first reading.
   make();
   collectGarbage();
   collectGarbage();
--- a/bench/slopes/state.ts
+++ b/bench/slopes/state.ts
@@ -1,5 +1,5 @@
 /**
- * Memory of what processes hold.
+ * Measures the memory of the state that processes hold.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import { makeRow, measureBytes, measureTimeUs } from "./points.ts";
 import { makeMember } from "./members.ts";
 
-/** @returns Rows of what processes hold. */
+/** @returns Results for state. */
 export function measureState(): Row[] {
   const members = [100, 500, 1_300, 2_600];
   const fill = (size: number) => {
--- a/bench/steering/mod.ts
+++ b/bench/steering/mod.ts
@@ -1,11 +1,11 @@
 /**
- * Steering against a naive version and against a planner that knows everything,
- * on the same demand, capacity and faults, in steps of half a second.
+ * Compares steering with a naive strategy and with an omniscient planner, on the
+ * same demand, capacity and faults, in steps of half a second.
  *
- * Callers are client blocks; each is placed by the project's own rendezvous
- * choice on the weights in force. A region serves what its slots allow; what is
- * beyond is refused (steering) or late (naive, which has no admission). Cold
- * servers are slow for a while. Measurements reach a planner after a lag.
+ * Callers are client blocks, which the project's rendezvous hashing places by the
+ * weights in force. A region serves what its slots allow; excess requests are
+ * refused (steering) or late (naive, which has no admission control). Cold servers
+ * are slow for a while. Measurements reach a planner after a lag.
  *
  * @module
  */
@@ -107,7 +107,7 @@
   return result;
 }
 
-/** Share of all slots in use before the event. */
+/** Share of all slots that are busy before the event. */
 const BASE_UTILIZATION = 0.5;
 
 function listSites(name: string): Site[] {
--- a/bench/steering/scenarios.ts
+++ b/bench/steering/scenarios.ts
@@ -1,10 +1,10 @@
 /**
- * What happens to a deployment in the steering bench, as functions of time.
+ * Scenarios of the steering benchmark.
  *
  * @module
  */
 
-/** What happens, as functions of time. */
+/** Demand, faults and measurement lag as functions of time. */
 export interface Scenario {
   name: string;
   durationMs: number;
@@ -12,9 +12,9 @@
   demandFactor(nowMs: number): number;
   isLost(region: string, nowMs: number): boolean;
   isDrained(region: string, nowMs: number): boolean;
-  /** Age of the figures that a planner sees, in ms; Infinity: none arrive. */
+  /** @returns Age of the stats that a planner sees, in ms; Infinity: none arrive. */
   lagMs(nowMs: number): number;
-  /** Whether places that gain traffic are cold. */
+  /** Whether regions that gain traffic start cold. */
   hasColdStarts: boolean;
 }
 
@@ -27,10 +27,13 @@
   hasColdStarts: false,
 };
 
-/** When the event of a scenario begins, in ms. */
+/** Time at which the event of a scenario begins, in ms. */
 export const EVENT_MS = 20_000;
 
-/** @returns The scenarios; the event befalls the first region. */
+/**
+ * @param regions Names of all regions.
+ * @returns The scenarios; their event affects the first region.
+ */
 export function listScenarios(regions: string[]): Scenario[] {
   const [first] = regions;
   const after = (nowMs: number) => nowMs >= EVENT_MS;
--- a/bench/steering/strategies.ts
+++ b/bench/steering/strategies.ts
@@ -1,6 +1,6 @@
 /**
- * The three ways to steer: this project's, a naive one, and one that knows
- * everything.
+ * The steering strategies that are compared: this project's, a naive one, and an
+ * omniscient one.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   type World,
 } from "./world.ts";
 
-/** Figures as a planner sees them: those of `lag` ago. */
+/** @returns Load stats that a planner sees, which are as old as the lag. */
 export function makeLoads(world: World, nowMs: number): LoadState {
   const lagMs = world.scenario.lagMs(nowMs);
   const { site: { document, regionOf }, measured } = world;
@@ -63,7 +63,7 @@
   );
 }
 
-/** @returns The document with the drains of the scenario. */
+/** @returns The document with the scenario's drains added. */
 export function withDrains(world: World, nowMs: number): ServiceDocument {
   const { document } = world.site;
   const drained = document.regions.filter((region) =>
@@ -75,7 +75,7 @@
   };
 }
 
-/** @returns What a planner knows: late figures, or the truth for the omniscient. */
+/** @returns The planner's estimate: lagging stats, or actual demand if omniscient. */
 export function estimateNow(world: World, nowMs: number) {
   const { site: { fleet, regionOf }, scenario, strategy } = world;
   const document = withDrains(world, nowMs);
@@ -106,7 +106,7 @@
   return { ...known, input: { ...known.input, demand, places } };
 }
 
-/** Omniscient: true demand and capacity at once, all of the cap at once. */
+/** Omniscient: uses actual demand and capacity, and spends the whole cap at once. */
 export function decideOmniscient(world: World, nowMs: number): void {
   const { input, demandShare } = estimateNow(world, nowMs);
   const target = assign(input);
@@ -130,7 +130,7 @@
   world.plan = { trail } as Plan;
 }
 
-/** This project's plan and follower. */
+/** Steering: this project's planner and follower. */
 export function decideSteering(world: World, nowMs: number): void {
   const { site } = world;
   const plan = decidePlan({
@@ -154,7 +154,7 @@
   world.weights = world.follower.weights;
 }
 
-/** Nearest healthy place with room by the last report, with no cap. */
+/** Naive: nearest healthy region with capacity by the last report, without a cap. */
 export function decideNaive(world: World, nowMs: number): void {
   const { site: { document, fleet, regionOf }, scenario } = world;
   const lagMs = scenario.lagMs(nowMs);
--- a/bench/steering/world.ts
+++ b/bench/steering/world.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment under a scenario: demand, capacity, and what is served.
+ * Simulates a deployment under a scenario: demand, capacity and served requests.
  *
  * @module
  */
@@ -17,29 +17,30 @@
 export const STEP_MS = 500;
 /** Client blocks of each region. */
 export const BLOCKS_PER_REGION = 400;
-/** Latency is taken from each so many steps. */
+/** Steps between two latency samples. */
 export const LATENCY_SAMPLE_STEPS = 20;
-/** Service time of a cold server, as a multiple. */
+/** Factor on the service time of a cold server. */
 export const COLD_FACTOR = 3;
-/** Time that a place stays cold, in ms. */
+/** Time that a region stays cold, in ms. */
 export const COLD_MS = 15_000;
 /** Wall-clock time at the start, in ms since the epoch. */
 export const WALL_START_MS = 1_700_000_000_000;
 
-/** One service under one deployment. */
+/** One service of a deployment. */
 export interface Site {
   document: ServiceDocument;
   fleet: FleetDocument;
   regionOf: Map<string, string>;
-  /** Requests a second by region, at factor 1. */
+  /** Requests per second by region, at demand factor 1. */
   demand: Record<string, number>;
+  /** Share of the deployment's requests. */
   weight: number;
 }
 
-/** A way to steer. */
+/** A steering strategy. */
 export type Strategy = "steering" | "naive" | "omniscient";
 
-/** A site under a scenario and a way to steer. */
+/** State of the simulation of a service under a scenario and a strategy. */
 export interface World {
   site: Site;
   scenario: Scenario;
@@ -48,11 +49,11 @@
   plan: Plan | undefined;
   follower: ReturnType<typeof createFollower>;
   coldUntilMs: Map<string, number>;
-  /** Requests a second by region, as measured at each step. */
+  /** Requests per second by region, as measured at each step. */
   measured: Record<string, number>[];
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface RunResult {
   inTimeShare: number;
   lowestHeadroom: number;
@@ -63,7 +64,7 @@
   latency: number[];
 }
 
-/** @returns Requests a second that a region can serve now. */
+/** @returns Requests per second that a region can serve now. */
 export function getCapacityPerS(
   world: World,
   region: string,
@@ -79,7 +80,7 @@
   return slots * 1_000 / serviceMs;
 }
 
-/** @returns Requests a second of a region's callers. */
+/** @returns Requests per second of a region's callers. */
 export function getDemandPerS(
   world: World,
   region: string,
@@ -88,7 +89,7 @@
   return world.site.demand[region] * world.scenario.demandFactor(nowMs);
 }
 
-/** What one step came to, in requests a second. */
+/** Result of one step, in requests per second. */
 export interface StepResult {
   offered: number;
   inTime: number;
@@ -98,7 +99,14 @@
   latency: number[];
 }
 
-/** @returns What is served of what arrives. */
+/**
+ * Serves the requests of one step.
+ *
+ * @param world State of the simulation.
+ * @param nowMs Time of the step.
+ * @param places Region of each block, by the caller's region.
+ * @returns What was offered and served.
+ */
 export function serve(
   world: World,
   nowMs: number,
@@ -126,10 +134,10 @@
     const capacity = getCapacityPerS(world, region, nowMs);
     const wanted = arriving.get(region) ?? 0;
     capacityAll += capacity;
-    // Admission holds back what a place can't serve; the naive has none.
+    // Admission control refuses the excess; the naive strategy has none.
     const carried = strategy === "naive" ? wanted : Math.min(wanted, capacity);
     headroom = Math.min(headroom, capacity > 0 ? 1 - carried / capacity : 1);
-    // Without admission, an overloaded place answers nearly all of it late.
+    // Without admission control, an overloaded region answers nearly all late.
     const isCollapsed = strategy === "naive" && wanted > capacity * 1.05;
     inTime += isCollapsed ? capacity * 0.05 : Math.min(wanted, capacity);
   }
@@ -172,7 +180,7 @@
   );
 }
 
-/** Places whose traffic grew by a tenth within a second are cold for a while. */
+/** Marks regions as cold whose traffic grew by more than 10% within a second. */
 export function recordColdRegions(
   world: World,
   nowMs: number,
--- a/scripts/bundle.sh
+++ b/scripts/bundle.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Builds the gateway for the users' platform: its bundle in one file, so that a
-# process that starts reads one file instead of some hundred, the code that V8
-# compiled of it, and what launches both. Names are kept for stack traces.
+# Builds the gateway for the users' platform: a single-file bundle, so that a
+# starting process reads one file instead of several hundred, the V8 code cache
+# of the bundle, and the launcher. Identifiers aren't minified, to keep stack
+# traces readable.
 set -eu
 cd "$(dirname "$0")/.."
 bundle() {
@@ -11,7 +12,7 @@
 }
 bundle gateway gateway_bundle
 bundle launch gateway
-# V8 takes compiled code over only where it runs with the same options.
+# V8 rejects a code cache that was written with other options.
 options=$(sed -n 's/^run = "node \(.*\) target.*/\1/p' deploy/system.toml)
 # shellcheck disable=SC2086 # several options
 node $options target/gateway.cjs --write-code-cache
--- a/scripts/start.sh
+++ b/scripts/start.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Runs a deployment on loopback: stand-ins, a steer and an entry for each entry
-# VM, then the load. Stops everything by its process id, also after Ctrl-C.
+# VM, then the load. Stops all processes by their ids, also on Ctrl-C.
 #
 #   npm start -- --deployment nordvern|asca --duration-s N --rate N --report FILE
 set -u
@@ -8,13 +8,13 @@
 bin=${HAWTHORNGW_BIN:-dist/bin}
 dir=$(mktemp -d "${TMPDIR:-/tmp}/hawthorngw.XXXXXX") || exit 1
 pids=
-doomed=
+kill_pids=
 load=
 
 stop_all() {
   trap '' INT TERM
   [ -n "$load" ] && kill -TERM "$load" 2>/dev/null
-  # Last started, first stopped: daemons before what they talk to.
+  # In reverse order of their start: daemons before the stand-ins they connect to.
   for pid in $pids; do
     kill -TERM "$pid" 2>/dev/null
   done
@@ -41,9 +41,9 @@
     esac
     node $bin/hawthorngw_"$binary".js --settings "$settings" </dev/null &
     pids="$! $pids"
-    # HAWTHORNGW_KILL=REGION: this region's processes are killed at half time.
+    # HAWTHORNGW_KILL=REGION: kills the processes of a region halfway through the run.
     case $name in
-      *"-${HAWTHORNGW_KILL:-none}"-*) doomed="$! $doomed" ;;
+      *"-${HAWTHORNGW_KILL:-none}"-*) kill_pids="$! $kill_pids" ;;
     esac
   done <"$dir/processes.txt"
 }
@@ -61,25 +61,26 @@
 done
 start_group steer
 start_group entry
-leaver=${pids%% *}
+last_entry_pid=${pids%% *}
 
-# HAWTHORNGW_LOAD=control|path measures the daemons themselves instead.
+# HAWTHORNGW_LOAD=control|path measures the daemons' overhead instead of running load.
 mode=${HAWTHORNGW_LOAD:-run}
 node $bin/hawthorngw_load.js "$mode" --settings "$dir/load.jsonc" &
 load=$!
-# A planned stop of the entry started last, or a region's loss, under load.
+# Halfway through the run, stops the last entry or kills a region.
 stop_after=$(sed -n 's/.*"durationS": *\([0-9]*\).*/\1/p' "$dir/load.jsonc")
 (
   [ "$mode" = run ] || exit 0
-  # Counted from the first request: a start that took longer than half of the
-  # run lost its last entry before it was up, and never came up.
+  # Timed from the first request: otherwise, when starting took longer than half of
+  # the run, the last entry was stopped before it was up, and the start never
+  # completed.
   until [ -e "$dir/loading" ]; do sleep 0.2; done
   sleep $((stop_after / 2))
-  if [ -n "$doomed" ]; then
+  if [ -n "$kill_pids" ]; then
     # shellcheck disable=SC2086
-    kill -KILL $doomed 2>/dev/null
+    kill -KILL $kill_pids 2>/dev/null
   else
-    kill -TERM "$leaver" 2>/dev/null
+    kill -TERM "$last_entry_pid" 2>/dev/null
   fi
 ) &
 stopper=$!
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs all tests beside the code; ends with "N passed, N failed". Failures of
-# tests that KNOWN-RED.txt names in quotes are passed over, and no others; a
-# test that it names and that passes is to be taken off.
+# Runs all unit tests and prints "N passed, N failed" at the end. Only failures of
+# tests that KNOWN-RED.txt names in quotes are tolerated. A test named there that
+# passes is an error, so that its entry gets removed.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 out=$(mktemp) || exit 1
@@ -18,25 +18,25 @@
 fi
 failed=$(echo "$plain" | sed -n 's/^ *FAIL .*"\(.*\)"$/\1/p' | sort -u)
 known=$(sed -n 's/^"\([^"]*\)".*/\1/p' KNOWN-RED.txt 2>/dev/null | sort -u)
-isKnown() {
+contains_line() {
   echo "$2" | grep -qxF -- "$1"
 }
-verdict=0
-[ $code -eq 0 ] || [ -n "$failed" ] || verdict=$code
+exit_code=0
+[ $code -eq 0 ] || [ -n "$failed" ] || exit_code=$code
 while read -r name; do
   [ -z "$name" ] && continue
-  isKnown "$name" "$known" && echo "known red: $name" && continue
-  verdict=1
+  contains_line "$name" "$known" && echo "known red: $name" && continue
+  exit_code=1
 done <<LIST
 $failed
 LIST
 while read -r name; do
   [ -z "$name" ] && continue
-  isKnown "$name" "$failed" && continue
+  contains_line "$name" "$failed" && continue
   echo "passes, though KNOWN-RED.txt names it: $name" >&2
-  verdict=1
+  exit_code=1
 done <<LIST
 $known
 LIST
 echo "$passed passed, $((total - passed)) failed"
-exit $verdict
+exit $exit_code
--- a/scripts/write_reference.ts
+++ b/scripts/write_reference.ts
@@ -1,5 +1,5 @@
 /**
- * Writes `docs/REFERENCE.md` from the schemas; `--check` only compares.
+ * Generates `docs/REFERENCE.md` from the schemas; `--check` only compares.
  *
  * @module
  */
--- a/src/bin/hawthorngw.ts
+++ b/src/bin/hawthorngw.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `hawthorngw`: the operators' command line.
+ * `hawthorngw`: the command line for operators.
  *
  * @module
  */
--- a/src/bin/hawthorngw_entry.ts
+++ b/src/bin/hawthorngw_entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `hawthorngw-entry`: see `entry/entry.ts`.
+ * `hawthorngw-entry`: starts the entry daemon of `entry/entry.ts`.
  *
  * @module
  */
--- a/src/bin/hawthorngw_explain.ts
+++ b/src/bin/hawthorngw_explain.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * Tells from gateways' log lines why requests were late, refused or lost.
+ * `hawthorngw-explain`: finds from log lines of gateways why requests were late,
+ * refused or lost.
  *
  * @module
  */
@@ -16,15 +17,15 @@
 
 const USAGE = `hawthorngw-explain FILE... [--request ID] [--max-shift SHARE]
 
-Reads log lines of gateways and prints what became of requests: by 2 s window,
-by region, by service; the largest moves of shares; and by service how right
-gateways were about the load and the memory of servers; and under which requests
-servers ended.
+Reads log lines of gateways and prints the outcomes of requests by 2 s window,
+region and service; the largest traffic shifts; by service, how accurately
+gateways estimated the load and the caches of servers; and the requests during
+which servers crashed.
 
-  --request ID        all lines of one request instead, in order
-  --max-shift SHARE   bound on shifts to show beside the moves (0.15)
+  --request ID        print all lines of one request instead, in order
+  --max-shift SHARE   shift cap to print beside the largest shifts (0.15)
 `;
-/** The bound of deployments so far. */
+/** Shift cap of the deployments in use. */
 const DEFAULT_MAX_SHIFT = "0.15";
 
 function readArguments() {
--- a/src/bin/hawthorngw_load.ts
+++ b/src/bin/hawthorngw_load.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `hawthorngw-load`: prepares a deployment on loopback and loads it.
+ * `hawthorngw-load`: prepares a deployment on loopback and generates load.
  *
  * @module
  */
@@ -25,13 +25,13 @@
       [--seed N] [--vms-per-domain N]
     Writes the settings and documents of a deployment on loopback to DIR.
   hawthorngw-load run --settings FILE
-    Loads a deployment that is up, and prints a report as JSON.
+    Sends load to a running deployment and prints a report as JSON.
   hawthorngw-load control --settings FILE
-    Measures what control costs the daemons of a deployment without load.
+    Measures the CPU and traffic of the control plane without load.
   hawthorngw-load path --settings FILE
-    Measures what an entry adds to a request, and look-ups a second.
+    Measures the latency that an entry adds, and look-ups per second.
 
-Exit codes: 0 done, 1 a promise was broken or the run failed, 2 bad arguments.
+Exit codes: 0 done, 1 an invariant was violated or the run failed, 2 bad arguments.
 `;
 
 async function main(): Promise<number> {
@@ -81,10 +81,12 @@
   throw makeUsageError(`${name} is missing`);
 }
 
-function requireNumber(name: string, text: string, least: number): number {
+function requireNumber(name: string, text: string, minimum: number): number {
   const number = Number(text);
-  if (Number.isFinite(number) && number >= least) return number;
-  throw makeUsageError(`${name} ${text} is not a number of at least ${least}`);
+  if (Number.isFinite(number) && number >= minimum) return number;
+  throw makeUsageError(
+    `${name} ${text} is not a number of at least ${minimum}`,
+  );
 }
 
 function makeUsageError(message: string): StepError {
@@ -140,7 +142,7 @@
   return Object.values(invariants).some((count) => count > 0);
 }
 
-/** A bar on a terminal, a line every 5 s elsewhere. */
+/** Draws a progress bar on a terminal, or prints a line every 5 s elsewhere. */
 function createProgress(durationS: number) {
   if (!process.stderr.isTTY) {
     return {
--- a/src/bin/hawthorngw_standin.ts
+++ b/src/bin/hawthorngw_standin.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `hawthorngw-standin`: the platform, backend servers or the links between
- * regions, for development only.
+ * `hawthorngw-standin`: simulates the platform, backend servers or the links
+ * between regions, for development only.
  *
  * @module
  */
--- a/src/bin/hawthorngw_steer.ts
+++ b/src/bin/hawthorngw_steer.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `hawthorngw-steer`: see `steer/steer.ts`.
+ * `hawthorngw-steer`: starts the steer daemon of `steer/steer.ts`.
  *
  * @module
  */
--- a/src/caller/lookup_cache.ts
+++ b/src/caller/lookup_cache.ts
@@ -1,6 +1,6 @@
 /**
- * Asks steers which entries to use, and keeps their answers for their time to
- * live.
+ * Queries steers for the entries to use, and caches their answers for their time
+ * to live.
  *
  * @module
  */
@@ -10,24 +10,24 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Random } from "../runtime/random.ts";
 
-/** Answers are given up to this share earlier, so that callers spread. */
+/** Answers expire up to this share earlier, to spread the callers' queries. */
 const EXPIRY_JITTER_SHARE = 0.2;
-/** Answers kept at most. */
+/** Cached answers at most; the cache is cleared when it is reached. */
 const MAX_CACHED_ANSWERS = 50_000;
 const LOOKUP_TIMEOUT_MS = 1_000;
 
-/** What is looked up. */
+/** Key of a look-up. */
 export interface LookupQuery {
   service: string;
   clientIp: string;
 }
 
-/** Answers to look-ups. */
+/** Cache of look-ups. */
 export interface LookupCache {
-  /** @returns The answer, or why there is none. */
-  find(question: LookupQuery): Promise<LookupAnswer | { reason: string }>;
-  /** Drops an answer whose entries have failed. */
-  invalidate(question: LookupQuery): void;
+  /** @returns The answer, or the reason why there is none. */
+  find(query: LookupQuery): Promise<LookupAnswer | { reason: string }>;
+  /** Removes an answer, after an entry of it has failed. */
+  invalidate(query: LookupQuery): void;
 }
 
 interface CachedAnswer {
@@ -35,9 +35,9 @@
   expiresMs: number;
 }
 
-/** What the cache needs. */
+/** Dependencies of the cache. */
 export interface LookupCacheOptions {
-  /** Callers' addresses of steers; the first that answers is used. */
+  /** Caller addresses of steers; the first that answers is used. */
   steers: readonly string[];
   clock: Clock;
   random: Random;
@@ -45,8 +45,10 @@
 }
 
 /**
- * @param options See there.
- * @returns An empty cache.
+ * Creates an empty cache.
+ *
+ * @param options Dependencies.
+ * @returns The cache.
  */
 export function createLookupCache(options: LookupCacheOptions): LookupCache {
   const { steers, clock, random, agent } = options;
@@ -57,11 +59,11 @@
     return `${service} ${clientIp}`;
   }
 
-  function store(question: LookupQuery, answer: LookupAnswer): void {
+  function store(query: LookupQuery, answer: LookupAnswer): void {
     if (cachedAnswers.size >= MAX_CACHED_ANSWERS) cachedAnswers.clear();
     const lifetimeMs = answer.ttlMs * (1 - EXPIRY_JITTER_SHARE * random());
     const expiresMs = clock.monotonicMs() + lifetimeMs;
-    cachedAnswers.set(makeCacheKey(question), { answer, expiresMs });
+    cachedAnswers.set(makeCacheKey(query), { answer, expiresMs });
   }
 
   async function querySteer(
@@ -85,16 +87,16 @@
   }
 
   return {
-    async find(question) {
-      const found = cachedAnswers.get(makeCacheKey(question));
+    async find(query) {
+      const found = cachedAnswers.get(makeCacheKey(query));
       if (found && found.expiresMs > clock.monotonicMs()) return found.answer;
-      let reason = "No steer is known";
+      let reason = "No steer is configured";
       for (let tried = 0; tried < steers.length; tried++) {
         const index = (preferredIndex + tried) % steers.length;
-        const answer = await querySteer(steers[index], question);
+        const answer = await querySteer(steers[index], query);
         if ("entries" in answer) {
           preferredIndex = index;
-          store(question, answer);
+          store(query, answer);
           return answer;
         }
         reason = answer.reason;
@@ -102,6 +104,6 @@
       }
       return { reason };
     },
-    invalidate: (question) => void cachedAnswers.delete(makeCacheKey(question)),
+    invalidate: (query) => void cachedAnswers.delete(makeCacheKey(query)),
   };
 }
--- a/src/caller/mod.ts
+++ b/src/caller/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' library: finds an entry, falls over to the next, keeps the
- * deadline, makes idempotency keys, and says `not_run`, `unknown` or the
- * answer. It does nothing that a plain HTTP caller could not do by the docs.
+ * The client library: looks up an entry, fails over to the next one, enforces the
+ * deadline, creates idempotency keys, and returns the answer, `not_run` or
+ * `unknown`. It uses only the documented HTTP interface.
  *
  * @module
  */
@@ -19,18 +19,24 @@
 
 export type { Call, CallResult } from "./types.ts";
 
-/** A caller. */
+/** A client of the gateway. */
 export interface Caller {
-  /** Makes a call; never throws. */
+  /**
+   * Makes a call.
+   *
+   * @param call The call.
+   * @returns Its result; errors are results too, so it never throws.
+   */
   call(call: Call): Promise<CallResult>;
-  /** @returns Connections that broke while a request was under way. */
+  /** @returns Number of connections that broke during a request. */
   brokenCount(): number;
+  /** Closes all connections. */
   close(): Promise<void>;
 }
 
-/** What a caller needs. */
+/** Options of a caller. */
 export interface CallerOptions {
-  /** Callers' addresses of steers, `host:port`, nearest first. */
+  /** Caller addresses of steers, `host:port`, nearest first. */
   steers: readonly string[];
   clock?: Clock;
   random?: Random;
@@ -50,14 +56,16 @@
 
 type AttemptResult =
   | { kind: "final"; result: CallResult }
-  /** Nothing was sent: another entry may be tried, with a new key. */
+  /** Nothing was sent: another entry may be tried with a new key. */
   | { kind: "not_sent"; reason: string }
-  /** The connection broke: another entry may be asked, with the same key. */
+  /** The connection broke: another entry may be tried with the same key. */
   | { kind: "broken"; reason: string };
 
 /**
- * @param options See there.
- * @returns A caller.
+ * Creates a caller.
+ *
+ * @param options Steers and dependencies.
+ * @returns The caller.
  */
 export function createCaller(options: CallerOptions): Caller {
   const clock = options.clock ?? createSystemClock();
@@ -77,34 +85,37 @@
     agent,
   });
 
-  async function call(made: Call): Promise<CallResult> {
-    const endMs = clock.monotonicMs() + made.deadlineMs;
+  async function call(spec: Call): Promise<CallResult> {
+    const endMs = clock.monotonicMs() + spec.deadlineMs;
     const requestId = createId();
-    const lookupResult = await lookups.find(made);
+    const lookupResult = await lookups.find(spec);
     if ("reason" in lookupResult) {
       const { reason } = lookupResult;
       return { kind: "not_run", reason, retryAfterS: 1, requestId };
     }
-    return tryEntries(made, lookupResult, { requestId, endMs });
+    return tryEntries(spec, lookupResult, { requestId, endMs });
   }
 
-  /** A key stays the same from the moment that anything was sent under it. */
+  /**
+   * Tries the entries in order. The idempotency key stays the same once a request
+   * has been sent with it.
+   */
   async function tryEntries(
-    made: Call,
+    spec: Call,
     answer: LookupAnswer,
     { requestId, endMs }: { requestId: string; endMs: number },
   ): Promise<CallResult> {
     let key: string | undefined;
     let wasSent = false;
-    let reason = "No entry was named";
+    let reason = "The look-up named no entry";
     for (const entry of answer.entries) {
       const remainingMs = endMs - clock.monotonicMs();
       if (remainingMs <= 0) break;
-      if (!made.idempotent && !wasSent) {
+      if (!spec.idempotent && !wasSent) {
         key = `${entry.keyPrefix}.${createId()}`;
       }
       const attempt = {
-        call: made,
+        call: spec,
         answer,
         entry,
         requestId,
@@ -113,9 +124,9 @@
       };
       const result = await send(attempt);
       if (result.kind === "final") {
-        return resolveNotRun(made, result.result, wasSent);
+        return resolveNotRun(spec, result.result, wasSent);
       }
-      lookups.invalidate(made);
+      lookups.invalidate(spec);
       reason = result.reason;
       wasSent ||= result.kind === "broken";
     }
@@ -124,15 +135,15 @@
   }
 
   async function send(attempt: Attempt): Promise<AttemptResult> {
-    const { call: made, entry, remainingMs } = attempt;
+    const { call: spec, entry, remainingMs } = attempt;
     try {
       const url = `http://${entry.address}/v1/services/` +
-        `${encodeURIComponent(made.service)}${made.path}`;
+        `${encodeURIComponent(spec.service)}${spec.path}`;
       const response = await request(url, {
         dispatcher: agent,
-        method: made.method as Dispatcher.HttpMethod,
+        method: spec.method as Dispatcher.HttpMethod,
         headers: makeHeaders(attempt),
-        body: made.body,
+        body: spec.body,
         signal: AbortSignal.timeout(Math.ceil(remainingMs)),
       });
       const body = Buffer.from(await response.body.arrayBuffer());
@@ -152,15 +163,16 @@
 }
 
 /**
- * A refusal speaks for the last attempt only. The owner of a key speaks for all
- * attempts under it; without a key, an earlier one may have run.
+ * Decides whether `not_run` holds for the call. It covers only the last attempt,
+ * except that the owner of a key answers for all attempts with it: without a key,
+ * an earlier attempt may have run, so the result is `unknown`.
  */
 function resolveNotRun(
-  made: Call,
+  spec: Call,
   result: CallResult,
   wasSent: boolean,
 ): CallResult {
-  if (result.kind !== "not_run" || !wasSent || !made.idempotent) return result;
+  if (result.kind !== "not_run" || !wasSent || !spec.idempotent) return result;
   const { reason, requestId } = result;
   return { kind: "unknown", reason, requestId, idempotencyKey: undefined };
 }
--- a/src/caller/types.ts
+++ b/src/caller/types.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller asks and gets.
+ * Calls and their results.
  *
  * @module
  */
@@ -13,37 +13,37 @@
   path: string;
   body?: Buffer | string;
   contentType?: string;
-  /** Time until the answer is of no more use, in ms. */
+  /** Time until the deadline, in ms. */
   deadlineMs: number;
-  /** Whether running it twice does no harm. */
+  /** Whether the call may safely run more than once. */
   idempotent: boolean;
-  /** The client on whose behalf the call is made, as an IPv4 number. */
+  /** IPv4 address of the client on whose behalf the call is made. */
   clientIp: string;
 }
 
-/** How a call ended. */
+/** Result of a call. */
 export type CallResult =
   | {
     kind: "answer";
     status: number;
     contentType: string | undefined;
     body: Buffer;
-    /** Id of the request, the same at the backend server. */
+    /** Id of the request, which the backend server receives too. */
     requestId: string;
     serverId: string;
   }
-  /** It did not run; it may be made again after `retryAfterS`. */
+  /** The call did not run; it may be retried after `retryAfterS`. */
   | {
     kind: "not_run";
     reason: string;
     retryAfterS: number;
     requestId: string;
   }
-  /** It may have run. */
+  /** The call may have run. */
   | {
     kind: "unknown";
     reason: string;
     requestId: string;
-    /** Key under which the same call may be asked about again. */
+    /** Key with which the same call may be repeated to learn its result. */
     idempotencyKey: string | undefined;
   };
--- a/src/explain/causes.ts
+++ b/src/explain/causes.ts
@@ -1,51 +1,51 @@
 /**
- * Why a request was late, refused or lost, from its log lines.
+ * Finds from its log lines why a request was late, refused or lost.
  *
  * @module
  */
 import type { AttemptLine, ChoiceLine, RequestLines } from "./lines.ts";
 
-/** What became of a request. */
+/** Outcome of a request and its cause. */
 export type Cause =
   | "in time"
-  /** Late: it was sent more than once. */
-  | "late, sent again"
+  /** Late: there was more than one attempt. */
+  | "late, retried"
   /** Late: its server had no free slot. */
-  | "late, loaded"
-  /** Late: its server had not been asked for the object before. */
-  | "late, first run"
-  /** Late: its server answers others slowly as well. */
+  | "late, server saturated"
+  /** Late: first request of the object at its server. */
+  | "late, cache miss"
+  /** Late: its server answered all requests slowly. */
   | "late, slow server"
-  /** Late: its server should have known the object. */
-  | "late, forgotten"
+  /** Late: its server should have had the object cached. */
+  | "late, unexpected cache miss"
   | "late, other"
-  /** Refused while another region had room. */
-  | "refused, room elsewhere"
-  | "refused, all full"
-  /** Servers said that they did not run it. */
+  /** Refused although another region had capacity. */
+  | "refused, capacity elsewhere"
+  | "refused, all saturated"
+  /** Servers answered that they did not run it. */
   | "refused by servers"
-  /** Its VM could not prove that the caller's key was still there. */
+  /** Its VM could not prove that the caller's key is still valid. */
   | "refused, key unproven"
-  /** Rate limits or backoffs of its servers left no room. */
+  /** Rate limits or backoffs of its servers left no capacity. */
   | "refused, throttled"
   | "refused, other"
   | "over the account's limit"
   | "unknown caller"
-  /** No usable answer came. */
+  /** No usable answer arrived. */
   | "lost"
   | "client left";
 
 /** All causes, in the order of tables. */
 export const CAUSES: readonly Cause[] = [
   "in time",
-  "late, sent again",
-  "late, loaded",
-  "late, first run",
+  "late, retried",
+  "late, server saturated",
+  "late, cache miss",
   "late, slow server",
-  "late, forgotten",
+  "late, unexpected cache miss",
   "late, other",
-  "refused, room elsewhere",
-  "refused, all full",
+  "refused, capacity elsewhere",
+  "refused, all saturated",
   "refused by servers",
   "refused, key unproven",
   "refused, throttled",
@@ -56,32 +56,34 @@
   "client left",
 ];
 
-/** From one request a slot on, a request waits. */
+/** Requests per slot from which a request has to wait. */
 const SATURATION = 1;
-/** A region below this has room: two fifths of its slots are free. */
+/** Requests per slot below which a region has spare capacity: 2 in 5 slots are free. */
 const SPARE_CAPACITY_UTILIZATION = 0.6;
-/** A run that takes this many times as long as usual is no usual one. */
+/** An attempt is slow if it takes this many times the median. */
 const SLOW_FACTOR = 2;
 
-/** Usual times of attempts that were answered, in ms. */
+/** Median times of answered attempts, in ms. */
 export interface MedianTimes {
-  /** @returns The median over all servers of a service. */
+  /** @returns Median over all servers of a service, in ms. */
   serviceMedianMs(service: string): number;
-  /** @returns The median at a server in the second around a moment. */
+  /** @returns Median at a server within the second that contains `time`, in ms. */
   serverMedianMs(server: string, time: number): number;
 }
 
 /**
- * @param request A request's lines; its end is known.
- * @param usual Usual times.
- * @returns What became of it.
+ * Finds the outcome of a request and its cause.
+ *
+ * @param request Log lines of a request, its end included.
+ * @param medians Median times of answered attempts.
+ * @returns The cause.
  */
-export function findCause(request: RequestLines, usual: MedianTimes): Cause {
+export function findCause(request: RequestLines, medians: MedianTimes): Cause {
   const { end, choices, attempts } = request;
   switch (end?.outcome) {
     case "answer":
       if (end.tookMs <= end.targetMs) return "in time";
-      return findLateCause(choices, attempts, usual);
+      return findLateCause(choices, attempts, medians);
     case "refused":
       return findRefusalCause(choices, end.reason);
     case "limited":
@@ -98,19 +100,21 @@
 function findLateCause(
   choices: readonly ChoiceLine[],
   attempts: readonly AttemptLine[],
-  usual: MedianTimes,
+  medians: MedianTimes,
 ): Cause {
-  if (attempts.length !== 1) return "late, sent again";
+  if (attempts.length !== 1) return "late, retried";
   const [attempt] = attempts;
   const choice = choices.find(({ server }) => server === attempt.server);
-  if (attempt.isFirst) return "late, first run";
-  if ((choice?.use ?? 0) >= SATURATION) return "late, loaded";
+  if (attempt.isFirst) return "late, cache miss";
+  if ((choice?.use ?? 0) >= SATURATION) return "late, server saturated";
   if (choice === undefined) return "late, other";
-  const slowMs = SLOW_FACTOR * usual.serviceMedianMs(choice.service);
-  if (usual.serverMedianMs(attempt.server, attempt.time) > slowMs) {
+  const slowMs = SLOW_FACTOR * medians.serviceMedianMs(choice.service);
+  if (medians.serverMedianMs(attempt.server, attempt.time) > slowMs) {
     return "late, slow server";
   }
-  return attempt.tookMs > slowMs ? "late, forgotten" : "late, other";
+  return attempt.tookMs > slowMs
+    ? "late, unexpected cache miss"
+    : "late, other";
 }
 
 function findRefusalCause(
@@ -130,5 +134,7 @@
   const hasSpareCapacity = otherUtilizations.some((use) =>
     use < SPARE_CAPACITY_UTILIZATION
   );
-  return hasSpareCapacity ? "refused, room elsewhere" : "refused, all full";
+  return hasSpareCapacity
+    ? "refused, capacity elsewhere"
+    : "refused, all saturated";
 }
--- a/src/explain/causes_test.ts
+++ b/src/explain/causes_test.ts
@@ -4,7 +4,7 @@
 import { type LogContent, parseLogLines } from "./lines.ts";
 import { renderMoves, renderTable } from "./report.ts";
 
-const USUAL = { serviceMedianMs: () => 100, serverMedianMs: () => 100 };
+const MEDIANS = { serviceMedianMs: () => 100, serverMedianMs: () => 100 };
 const BASE = { time: 10_000, vm: "vm-1", requestId: "q" };
 
 type Fields = Record<string, unknown>;
@@ -26,11 +26,13 @@
 const refused = { outcome: "refused", reason: "all_full", tookMs: 1 };
 const answered: [Cause, Fields, Fields, Fields][] = [
   ["in time", { use: 0 }, { tookMs: 90 }, { tookMs: 91 }],
-  ["late, loaded", { use: 1.5 }, { tookMs: 290 }, { tookMs: 291 }],
-  ["late, first run", { use: 0.5 }, { tookMs: 290, isFirst: true }, {
+  ["late, server saturated", { use: 1.5 }, { tookMs: 290 }, { tookMs: 291 }],
+  ["late, cache miss", { use: 0.5 }, { tookMs: 290, isFirst: true }, {
+    tookMs: 291,
+  }],
+  ["late, unexpected cache miss", { use: 0.5 }, { tookMs: 290 }, {
     tookMs: 291,
   }],
-  ["late, forgotten", { use: 0.5 }, { tookMs: 290 }, { tookMs: 291 }],
   ["late, other", { use: 0.5 }, { tookMs: 190 }, { tookMs: 201 }],
   ["lost", { use: 0.5 }, { tookMs: 90 }, { outcome: "failed" }],
   ["refused by servers", { use: 0.5 }, { tookMs: 2 }, {
@@ -51,36 +53,36 @@
 ];
 
 for (const [cause, choice, attempt, end] of answered) {
-  test(`a request is told to be ${cause}`, () => {
+  test(`a request is classified as ${cause}`, () => {
     const { requests } = gather(...makeLines(choice, attempt, end));
-    assert.is(findCause(requests.get("q")!, USUAL), cause);
+    assert.is(findCause(requests.get("q")!, MEDIANS), cause);
   });
 }
 
 const refusals: [Cause, Record<string, number>][] = [
-  ["refused, room elsewhere", { oslo: 2, bergen: 0.4 }],
-  ["refused, all full", { oslo: 2, bergen: 1.4 }],
+  ["refused, capacity elsewhere", { oslo: 2, bergen: 0.4 }],
+  ["refused, all saturated", { oslo: 2, bergen: 1.4 }],
 ];
 
 for (const [cause, uses] of refusals) {
-  test(`a refusal with regions at ${Object.values(uses)} is ${cause}`, () => {
+  test(`a refusal with regions at ${Object.values(uses)} requests per slot is ${cause}`, () => {
     const { requests } = gather(
       { msg: "choose", service: "s", region: "oslo", choice: "full", uses },
       { msg: "request ended", targetMs: 200, ...refused },
     );
-    assert.is(findCause(requests.get("q")!, USUAL), cause);
+    assert.is(findCause(requests.get("q")!, MEDIANS), cause);
   });
 }
 
-test("a server that answers all slowly is told from one that forgot", () => {
-  const slow = { ...USUAL, serverMedianMs: () => 900 };
+test("a server that is slow for all requests is distinguished from a cache miss", () => {
+  const slow = { ...MEDIANS, serverMedianMs: () => 900 };
   const { requests } = gather(
     ...makeLines({ use: 0.5 }, { tookMs: 950 }, { tookMs: 951 }),
   );
   assert.is(findCause(requests.get("q")!, slow), "late, slow server");
 });
 
-test("tables count by window and service; foreign lines are skipped", () => {
+test("tables count by window and service; lines of other programs are skipped", () => {
   const content = gather(
     ...makeLines({ use: 0 }, { tookMs: 90 }, { tookMs: 91 }),
   );
@@ -89,7 +91,7 @@
   assert.match(renderTable(content, "window", 5_000), /\n4 +1$/);
 });
 
-test("moves of one window add up, but for those after a loss", () => {
+test("moves within a window are summed, except those after a loss", () => {
   const { moves } = gather(
     { msg: "region shares moved", service: "s", moved: 0.05, loss: 0 },
     { msg: "region shares moved", service: "s", moved: 0.06, loss: 0 },
--- a/src/explain/crashes.ts
+++ b/src/explain/crashes.ts
@@ -1,22 +1,24 @@
 /**
- * Which requests backend servers ended under.
+ * Requests during which backend servers crashed.
  *
- * What ran on a server beside the request that ended it shows as well, but not
- * at one server after the other.
+ * Requests that ran on a server beside a poison request are listed too, but only
+ * the poison request recurs on one crashed server after another.
  *
  * @module
  */
 import type { CutLine, LogContent } from "./lines.ts";
 import { renderRows } from "./rows.ts";
 
-/** Requests that are shown. */
+/** Requests that the table lists at most. */
 const MAX_ROWS = 10;
-const HEADERS = ["request", "servers ended", "cuts", "VMs", "first", "last"];
+const HEADERS = ["request", "servers crashed", "cuts", "VMs", "first", "last"];
 
 /**
- * @param content What a log tells.
- * @param firstMs Time from which moments are counted.
- * @returns A table of requests, those first under which most servers ended.
+ * Lists the requests during which servers crashed.
+ *
+ * @param content Parsed logs.
+ * @param firstMs Time that the first and last cut are relative to, in ms.
+ * @returns A table of requests, by the number of servers that crashed.
  */
 export function renderCrashes({ cuts }: LogContent, firstMs: number): string {
   const byRequest = new Map<string, CutLine[]>();
@@ -32,20 +34,20 @@
 }
 
 function countCrashedServers(lines: readonly CutLine[]): number {
-  const ended = lines.filter(({ verdict }) => verdict === "ended");
-  return new Set(ended.map(({ server }) => server)).size;
+  const crashes = lines.filter(({ verdict }) => verdict === "ended");
+  return new Set(crashes.map(({ server }) => server)).size;
 }
 
 function formatRow(
   lines: readonly CutLine[],
-  ended: number,
+  crashedCount: number,
   firstMs: number,
 ): string[] {
   const times = lines.map(({ time }) => (time - firstMs) / 1_000);
   const [{ request, method, path }] = lines;
   return [
     `${request} ${method} ${path}`,
-    String(ended),
+    String(crashedCount),
     String(lines.length),
     String(new Set(lines.map(({ vm }) => vm)).size),
     Math.min(...times).toFixed(3),
--- a/src/explain/crashes_test.ts
+++ b/src/explain/crashes_test.ts
@@ -22,13 +22,13 @@
   });
 }
 
-test("the request that servers ended under one after the other comes first", () => {
+test("the request during which most servers crashed comes first", () => {
   const table = renderCrashes(
     parseLogLines([
       makeCut("beside", "1", 1_000),
-      makeCut("deadly", "1", 1_001),
-      makeCut("deadly", "2", 2_000),
-      makeCut("deadly", "2", 2_001),
+      makeCut("poison", "1", 1_001),
+      makeCut("poison", "2", 2_000),
+      makeCut("poison", "2", 2_001),
       makeCut("unlucky", "3", 3_000, "runs"),
       makeCut("unlucky", "3", 3_001, "runs"),
     ]),
@@ -36,14 +36,14 @@
   );
   const rows = table.split("\n").map((row) => row.trim().split(/ {2,}/));
   assert.equal(rows[1], [
-    "deadly GET /deadly",
+    "poison GET /poison",
     "2",
     "3",
     "3",
     "1.001",
     "2.001",
   ]);
-  assert.equal(rows.map((row) => row[1]), ["servers ended", "2", "1", "0"]);
+  assert.equal(rows.map((row) => row[1]), ["servers crashed", "2", "1", "0"]);
 });
 
 test.run();
--- a/src/explain/estimates.ts
+++ b/src/explain/estimates.ts
@@ -1,45 +1,50 @@
 /**
- * How right gateways were about servers when they chose: what load and which
- * objects they took them to have, and what came of it.
+ * Accuracy of the estimates by which gateways choose servers: the estimated load
+ * and cached objects against what the log shows.
  *
  * @module
  */
 import type { AttemptLine, ChoiceLine, LogContent } from "./lines.ts";
 import { renderRows } from "./rows.ts";
 
-/** One request at one server. */
+/** An attempt and the choice of server that led to it. */
 interface ChosenAttempt {
   choice: ChoiceLine;
   attempt: AttemptLine;
 }
 
-/** What is counted for a service. */
+/** Accuracy of the estimates for one service. */
 interface EstimateStats {
   choices: number;
+  /** Sum over all choices, in requests per slot. */
   estimatedUtilization: number;
+  /** Sum over all choices, in requests per slot. */
   actualUtilization: number;
-  /** Answers for objects that the server was taken to know. */
+  /** Answers for objects that the server was estimated to have cached. */
   predictedHits: number;
-  /** Those of them that took as long as first runs do. */
+  /** Predicted hits that took as long as cache misses do. */
   slowPredictedHits: number;
+  /** Time that servers spent on all attempts. */
   serverMs: number;
-  /** Of it, for requests that were not answered. */
+  /** Part of `serverMs` spent on attempts that were not answered. */
   unansweredMs: number;
 }
 
 const HEADERS = [
   "service",
   "choices",
-  "believed requests/slot",
-  "true",
-  "known objects run as first",
-  "server time not answered",
+  "estimated requests/slot",
+  "actual requests/slot",
+  "predicted hits that missed",
+  "server time without answer",
 ];
 
 /**
- * @param content What a log of all VMs tells.
- * @returns A table, a line for each service. Loads are right as far as the VMs'
- *   clocks agree, and their logs are complete.
+ * Compares the estimates of gateways with the outcome, by service.
+ *
+ * @param content Parsed logs of all VMs.
+ * @returns A table with a row for each service. The actual load is exact only if
+ *   the VMs' clocks agree and all logs are complete.
  */
 export function renderEstimates(content: LogContent): string {
   const runs = pairAttempts(content);
@@ -85,7 +90,7 @@
   return stats;
 }
 
-/** @returns Requests a slot that ran at its server when each was chosen. */
+/** @returns Requests per slot that ran at the server when it was chosen. */
 function computeActualUtilization(
   runs: readonly ChosenAttempt[],
 ): Map<ChoiceLine, number> {
@@ -105,7 +110,7 @@
   return utilizations;
 }
 
-/** Between the medians of first runs and of those of known objects. */
+/** @returns Geometric mean of the median times of cache misses and of hits. */
 function findCacheMissThresholdMs(runs: readonly ChosenAttempt[]): number {
   const getMedianMs = (isFirst: boolean) => {
     const times = runs
@@ -122,17 +127,17 @@
 function formatStats(stats: EstimateStats): string[] {
   const {
     choices,
-    predictedHits: known,
-    slowPredictedHits: knownAsFirst,
+    predictedHits,
+    slowPredictedHits,
     serverMs,
-    unansweredMs: wastedMs,
+    unansweredMs,
   } = stats;
   return [
     String(choices),
     (stats.estimatedUtilization / choices).toFixed(2),
     (stats.actualUtilization / choices).toFixed(2),
-    formatShare(knownAsFirst, known),
-    formatShare(wastedMs, serverMs),
+    formatShare(slowPredictedHits, predictedHits),
+    formatShare(unansweredMs, serverMs),
   ];
 }
 
--- a/src/explain/estimates_test.ts
+++ b/src/explain/estimates_test.ts
@@ -5,7 +5,7 @@
 
 type Fields = Record<string, unknown>;
 
-/** The lines of one request at server 1, which has two slots. */
+/** Log lines of one request at server 1, which has two slots. */
 function makeRun(
   requestId: string,
   [startMs, endMs]: [number, number],
@@ -26,7 +26,7 @@
   ].map((line) => JSON.stringify({ ...base, ...line }));
 }
 
-test("believed load stands beside what ran, and first runs beside known ones", () => {
+test("estimated load is compared with actual load, and predicted hits with misses", () => {
   const table = renderEstimates(parseLogLines([
     ...makeRun("a", [0, 800], { use: 0, isKnown: false }, { isFirst: true }),
     ...makeRun("b", [100, 300], { use: 0, isKnown: true }),
@@ -40,7 +40,7 @@
   assert.equal(cells, ["s", "5", "0.20", "0.40", "0.333", "0.500"]);
 });
 
-test("a log without requests makes a table without lines", () => {
+test("a log without requests gives a table without rows", () => {
   assert.is(renderEstimates(parseLogLines([])).split("\n").length, 1);
 });
 
--- a/src/explain/lines.ts
+++ b/src/explain/lines.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines of gateways, gathered by request.
+ * Parses log lines of gateways and groups them by request.
  *
  * @module
  */
@@ -11,16 +11,17 @@
   ...commonFields,
   requestId: z.string(),
   service: z.string(),
-  /** Absent where no region could serve. */
+  /** Absent if no region could serve the request. */
   region: z.string().optional(),
-  /** Absent where there was none that could take it. */
+  /** Absent if no server could take the request. */
   server: z.string().optional(),
-  /** Load of the server, in requests a slot. */
+  /** Estimated utilization of the server, in requests per slot. */
   use: z.number().optional(),
-  /** Requests that it runs at once. */
+  /** Requests that the server runs concurrently. */
   slots: z.number().optional(),
+  /** Whether the server was estimated to have cached the object. */
   isKnown: z.boolean().optional(),
-  /** How full each region was, where the request was refused. */
+  /** Utilization by region, if the request was refused. */
   uses: z.record(z.string(), z.number()).optional(),
 });
 
@@ -29,7 +30,7 @@
   requestId: z.string(),
   server: z.string(),
   tookMs: z.number(),
-  /** Whether the server had not been asked for the object before. */
+  /** Whether it is the first request of the object at the server. */
   isFirst: z.boolean().default(false),
   outcome: z.string(),
 });
@@ -47,31 +48,31 @@
   ...commonFields,
   service: z.string(),
   moved: z.number(),
-  /** Part of the requests whose servers were lost, which no pace holds for. */
+  /** Share of the requests whose servers were lost; no shift cap applies. */
   loss: z.number(),
 });
 
 const cutSchema = z.object({
   ...commonFields,
   requestId: z.string(),
-  /** The same for each repeat of the request. */
+  /** Fingerprint, the same for each repeat of the request. */
   request: z.string(),
   method: z.string(),
   path: z.string(),
   server: z.string(),
-  /** Whether the server ended, or only the connection. */
+  /** Whether the server crashed or only the connection closed. */
   verdict: z.string(),
 });
 
-/** One choice of a server, or why there was none. */
+/** Choice of a server, or the reason why there was none. */
 export type ChoiceLine = z.infer<typeof choiceSchema>;
 /** The end of one attempt. */
 export type AttemptLine = z.infer<typeof attemptSchema>;
-/** A connection that ended without an answer. */
+/** A connection that was cut before the answer. */
 export type CutLine = z.infer<typeof cutSchema>;
-/** How a request ended for its client. */
+/** Outcome of a request for its client. */
 export type EndLine = z.infer<typeof endSchema>;
-/** A move of the shares of one VM's callers. */
+/** A shift of the traffic of one VM's callers between regions. */
 export type MoveLine = z.infer<typeof moveSchema>;
 
 /** All lines of one request. */
@@ -81,18 +82,20 @@
   end: EndLine | undefined;
 }
 
-/** What a log tells of requests. */
+/** Parsed logs. */
 export interface LogContent {
-  /** By id. */
+  /** Log lines by request id. */
   requests: Map<string, RequestLines>;
   moves: MoveLine[];
   cuts: CutLine[];
 }
 
 /**
- * @param lines Lines of any gateways, in any order; text before a line's first
- *   brace is skipped, as are lines that are none of a gateway's.
- * @returns What they tell of requests.
+ * Parses log lines. Text before the first brace of a line is skipped, as are
+ * lines that no gateway wrote.
+ *
+ * @param lines Lines of any gateways, in any order.
+ * @returns The parsed lines.
  */
 export function parseLogLines(lines: Iterable<string>): LogContent {
   const content: LogContent = { requests: new Map(), moves: [], cuts: [] };
@@ -134,7 +137,7 @@
   }
 }
 
-/** Lines that lack fields are other programs' or of another version. */
+/** @returns Undefined for lines of other programs or versions. */
 function parseAs<T>(schema: z.ZodType<T>, fields: unknown): T | undefined {
   return schema.safeParse(fields).data;
 }
@@ -153,7 +156,7 @@
   try {
     return JSON.parse(line.slice(start));
   } catch {
-    // A line of another program, or one that was cut.
+    // A line of another program, or a truncated one.
     return undefined;
   }
 }
--- a/src/explain/report.ts
+++ b/src/explain/report.ts
@@ -1,5 +1,5 @@
 /**
- * Tables of what became of requests, by moment, region and service.
+ * Tables of outcomes of requests by time window, region and service.
  *
  * @module
  */
@@ -7,19 +7,21 @@
 import type { LogContent, MoveLine, RequestLines } from "./lines.ts";
 import { renderRows } from "./rows.ts";
 
-/** Width of a window, as the bounds on shifts count. */
+/** Width of a window, the one that the shift cap applies to. */
 const WINDOW_MS = 2_000;
 
-/** What requests are counted by. */
+/** Criterion by which requests are grouped. */
 export type GroupKind = "window" | "service" | "region";
 
 type Counts = Map<Cause, number>;
 
 /**
- * @param content What a log tells.
- * @param kind What to count by.
- * @param firstMs Time of the first window.
- * @returns A table: a line for each group, a column for each cause that came.
+ * Counts the causes of outcomes in each group of requests.
+ *
+ * @param content Parsed logs.
+ * @param kind Criterion by which requests are grouped.
+ * @param firstMs Start of the first window, in ms.
+ * @returns A table with a row for each group and a column for each cause found.
  */
 export function renderTable(
   content: LogContent,
@@ -50,9 +52,11 @@
 }
 
 /**
- * @param moves Moves of shares.
- * @param maxShift Largest share that may change region between windows.
- * @returns By service, the largest move of a VM's shares in a window.
+ * Finds the largest shift of each service.
+ *
+ * @param moves Shifts of traffic; those after a loss are left out.
+ * @param maxShift Largest share that may change region within a window.
+ * @returns A table of the largest share that a VM moved in a window.
  */
 export function renderMoves(
   moves: readonly MoveLine[],
@@ -89,7 +93,7 @@
   return String(Math.floor(startMs / WINDOW_MS) * WINDOW_MS / 1_000);
 }
 
-/** Medians of answered attempts that were not the first for their object. */
+/** @returns Medians of answered attempts that were not cache misses. */
 function createMedianTimes({ requests }: LogContent): MedianTimes {
   const byService = new Map<string, number[]>();
   const byServer = new Map<string, number[]>();
--- a/src/explain/rows.ts
+++ b/src/explain/rows.ts
@@ -1,12 +1,14 @@
 /**
- * Text tables.
+ * Formats text tables.
  *
  * @module
  */
 
 /**
- * @param rows Rows of cells, the heads first.
- * @returns The table, the first column flush left.
+ * Formats a text table.
+ *
+ * @param rows Rows of cells, the header first.
+ * @returns The table, with its first column aligned left and the others right.
  */
 export function renderRows(rows: readonly string[][]): string {
   const widths = rows[0].map((_, column) =>
--- a/src/operator/arguments.ts
+++ b/src/operator/arguments.ts
@@ -1,5 +1,5 @@
 /**
- * Arguments of the operators' command line.
+ * Parses the arguments of the operators' command line.
  *
  * @module
  */
@@ -7,29 +7,39 @@
 import { parseArgs } from "node:util";
 import { StepError } from "../runtime/errors.ts";
 
-/** Options of all commands. */
+/** Arguments and options of a command; not every command uses each. */
 export interface CommandOptions {
-  /** Words after the command. */
+  /** Arguments after the command that aren't options. */
   positionals: string[];
+  /** Whether to print JSON instead of text. */
   json: boolean;
+  /** URL of the platform's API. */
   platformUrl: string | undefined;
+  /** Operator address of a steer, `host:port`. */
   operator: string | undefined;
+  /** Caller address of a steer, `host:port`. */
   steer: string | undefined;
+  /** Key that the operator address requires. */
   key: string | undefined;
+  /** Name stored with each document version. */
   author: string;
-  /** `path=value` pairs of `edit`. */
+  /** `path=value` assignments of `edit`. */
   set: string[];
-  /** Row version that a put was edited from. */
+  /** Row version that a document was edited from. */
   from: number | undefined;
   startsAt: string | undefined;
   endsAt: string | undefined;
+  /** How long `watch` waits. */
   timeoutS: number;
 }
 
 /**
+ * Parses the arguments of a command.
+ *
  * @param args Arguments after the command's name.
- * @returns The options; the environment fills in what is missing.
- * @throws StepError of kind `invalid`.
+ * @returns The options; defaults are taken from environment variables.
+ * @throws StepError of kind `invalid` if a number is malformed; an error of
+ *   `parseArgs` if an option is unknown.
  */
 export function parseCommandOptions(args: string[]): CommandOptions {
   const { values, positionals } = parseArgs({
@@ -51,7 +61,7 @@
   });
   const { env } = process;
   return {
-    positionals: positionals,
+    positionals,
     json: values.json,
     platformUrl: values.platform ?? env.HAWTHORNGW_PLATFORM,
     operator: values.operator ?? env.HAWTHORNGW_OPERATOR,
@@ -67,10 +77,12 @@
 }
 
 /**
- * @param value What was given, if anything.
- * @param name What it is, for the error.
+ * Checks that a value is present.
+ *
+ * @param value The value, or undefined.
+ * @param name Name of the value for the error message.
  * @returns The value.
- * @throws StepError of kind `invalid` where it is missing.
+ * @throws StepError of kind `invalid` if it is undefined.
  */
 export function requireValue<T>(value: T | undefined, name: string): T {
   if (value !== undefined) return value;
@@ -78,8 +90,10 @@
 }
 
 /**
+ * Creates the error for invalid arguments.
+ *
  * @param message What is wrong with the arguments.
- * @returns The error to throw.
+ * @returns A StepError of kind `invalid`.
  */
 export function usageError(message: string): StepError {
   return new StepError(message, {
--- a/src/operator/cli.ts
+++ b/src/operator/cli.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command line: one table of commands.
+ * The operators' command line: parses arguments and runs commands.
  *
  * @module
  */
@@ -30,13 +30,13 @@
   watchCommand,
 } from "./live.ts";
 
-/** Text of `--help`. */
-export const USAGE = `Usage: hawthorngw COMMAND [WORDS] [OPTIONS]
+/** Help text. */
+export const USAGE = `Usage: hawthorngw COMMAND [ARGUMENTS] [OPTIONS]
 
 Documents (need --platform URL or HAWTHORNGW_PLATFORM):
-  check FILE...                 check documents without putting them
+  check FILE...                 check documents without writing them
   get NAME                      print a document; NAME is fleet or a service
-  put FILE... [--from VERSION]  check and put documents
+  put FILE... [--from VERSION]  check and write documents
   edit NAME --set PATH=VALUE    change fields of a document, keeping comments
   diff NAME [FROM [TO]]         compare two versions, by default the last two
   history NAME                  list all versions
@@ -47,12 +47,12 @@
 HAWTHORNGW_KEY):
   watch NAME NUMBER [--timeout-s N]  wait until a version is in force
   status                        documents, failure domains and members
-  dump ADDRESS                  the whole state of one process
+  dump ADDRESS                  the complete state of one process
 
 As a caller (needs --steer ADDRESS or HAWTHORNGW_STEER):
   lookup SERVICE CLIENT_IP      which entries a client should use
 
-Options: --json prints JSON; --author NAME is kept with each version.
+Options: --json prints JSON; --author NAME is stored with each version.
 
 Examples:
   hawthorngw check service.jsonc
@@ -60,8 +60,8 @@
   hawthorngw drain enrol backend-server enrol-03
   hawthorngw watch enrol 7 --timeout-s 4
 
-Exit codes: 0 done; 1 failed; 2 bad arguments or document; 3 another edit came
-first; 4 not known whether it took effect.
+Exit codes: 0 done; 1 failed; 2 bad arguments or document; 3 conflicting edit;
+4 unknown whether it took effect.
 `;
 
 type Command = (
@@ -89,7 +89,7 @@
   return requireValue(store, "--platform or HAWTHORNGW_PLATFORM");
 }
 
-/** Where a command writes. */
+/** Output streams of a command. */
 export interface Output {
   out(text: string): void;
   error(text: string): void;
@@ -100,8 +100,8 @@
  *
  * @param args Arguments of the process.
  * @param clock The clock.
- * @param output Where it writes.
- * @returns The exit code.
+ * @param output Receives the output and error messages.
+ * @returns The exit code; errors are printed, not thrown.
  */
 export async function runCommand(
   args: string[],
--- a/src/operator/cli_test.ts
+++ b/src/operator/cli_test.ts
@@ -57,7 +57,7 @@
   rmSync(dir, { recursive: true });
 });
 
-test("an edit is accepted, comes into force, and is in the history", async ({ run }) => {
+test("an edit is accepted, takes effect, and is in the history", async ({ run }) => {
   const edit = await run("edit", "enrol", "--set", "shiftCap.maxShare=0.05");
   assert.is(edit.code, 0, edit.error);
   assert.match(edit.out, /enrol: version 2 accepted/);
@@ -68,7 +68,7 @@
   assert.match((await run("diff", "enrol")).out, /\+ +"maxShare": 0\.05/);
 });
 
-test("a drain is an edit, and so is taking it back", async ({ run }) => {
+test("a drain and its removal are edits of the document", async ({ run }) => {
   const drain = await run("drain", "enrol", "backend-server", "enrol-02");
   assert.is(drain.code, 0, drain.error);
   const read = JSON.parse((await run("get", "enrol")).out);
@@ -77,7 +77,7 @@
   assert.equal(JSON.parse((await run("get", "enrol")).out).drains, []);
 });
 
-test("a put from an old version shows both sides, exit code 3", async ({ run, dir }) => {
+test("a put from an old version shows both versions, exit code 3", async ({ run, dir }) => {
   const read = JSON.parse((await run("get", "enrol", "--json")).out);
   const file = join(dir, "enrol.jsonc");
   writeFileSync(file, `// mine\n${read.text}`);
@@ -107,7 +107,7 @@
   assert.ok("servers" in dump && "keys" in dump);
 });
 
-test("a look-up answers as callers see it", async ({ run }) => {
+test("a look-up gives the answer that callers get", async ({ run }) => {
   const answer = JSON.parse((await run("lookup", "enrol", "10.1.3.4")).out);
   assert.is(answer.clientBlock, "10.1.3.0/24");
   assert.is(answer.entries[0].region, "thies");
@@ -131,7 +131,7 @@
   });
 }
 
-test("with the platform down, an edit fails and says at which step", async ({ run, deployment }) => {
+test("with the platform down, an edit fails and names the step", async ({ run, deployment }) => {
   deployment.platform.faults.down = true;
   const edit = await run("edit", "enrol", "--set", "answerTtlMs=900");
   deployment.platform.faults.down = false;
--- a/src/operator/documents.ts
+++ b/src/operator/documents.ts
@@ -20,23 +20,26 @@
 import { EXIT_CODES } from "../runtime/process.ts";
 import { type CommandOptions, requireValue, usageError } from "./arguments.ts";
 
-/** What a command prints and how it exits. */
+/** Output and exit code of a command. */
 export interface CommandResult {
-  /** For a person. */
+  /** Human-readable output. */
   text: string;
-  /** For `--json`. */
+  /** Output of `--json`. */
   json: unknown;
   exitCode: number;
 }
 
 const FORMATTING = { formattingOptions: { insertSpaces: true, tabSize: 2 } };
 
-/** @returns Key of the row of a document's name: `fleet` or a service. */
+/**
+ * @param name `fleet` or the name of a service.
+ * @returns Key of the table row that stores the document.
+ */
 export function getDocumentKey(name: string): string {
   return name === "fleet" ? FLEET_KEY : getServiceKey(name);
 }
 
-/** The document's name is its `service` field; the fleet's has none. */
+/** @returns The `service` field, or `fleet` for a document without one. */
 function getDocumentName(text: string): string {
   const value = parse(text) as { service?: unknown } | undefined;
   return typeof value?.service === "string" ? value.service : "fleet";
@@ -69,21 +72,21 @@
 }
 
 /**
- * `check FILE...`: checks documents without putting them.
+ * `check FILE...`: checks documents without writing them.
  *
- * @param options Words are files.
- * @param store Where the fleet document is read, if it can be.
+ * @param options The positionals are files.
+ * @param store Store to read the fleet document from, if there is one.
  * @returns Problems and warnings.
  */
 export async function checkCommand(
-  { positionals: words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore | undefined,
 ): Promise<CommandResult> {
-  if (words.length === 0) throw usageError("FILE is missing");
+  if (positionals.length === 0) throw usageError("FILE is missing");
   const fleet = store && await readFleet(store);
   const problems: DocumentProblem[] = [];
   const warnings: DocumentProblem[] = [];
-  for (const file of words) {
+  for (const file of positionals) {
     checkDocument({ file, text: readFile(file) }, fleet).match(
       (checked) => warnings.push(...checked.warnings),
       (found) => problems.push(...found),
@@ -103,15 +106,15 @@
 /**
  * `get NAME`: prints a document with its row version.
  *
- * @param options Words are the name.
- * @param store The documents.
+ * @param options The positional is the name.
+ * @param store The document store.
  * @returns The document.
  */
 export async function getCommand(
-  { positionals: words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const read = unwrap(await store.read(getDocumentKey(name)));
   if (read.stored === undefined) throw usageError(`No document "${name}"`);
   return {
@@ -122,12 +125,12 @@
 }
 
 /**
- * `put FILE... [--from VERSION]`: checks and puts documents. Without `--from`
- * the newest version is taken as what they were edited from.
+ * `put FILE... [--from VERSION]`: checks and writes documents. Without `--from`
+ * they count as edited from the newest version. Stops at the first refusal.
  *
- * @param options Words are files.
- * @param store The documents.
- * @returns What was put.
+ * @param options The positionals are files.
+ * @param store The document store.
+ * @returns The outcome for each file.
  */
 export async function putCommand(
   options: CommandOptions,
@@ -202,7 +205,7 @@
   };
 }
 
-/** Changes a document's text and puts it, from the version read. */
+/** Reads a document, changes its text and writes it if nobody else has. */
 async function editText(
   name: string,
   options: CommandOptions,
@@ -219,11 +222,11 @@
 }
 
 /**
- * `edit NAME --set PATH=VALUE...`: changes fields, keeping comments.
+ * `edit NAME --set PATH=VALUE...`: changes fields and keeps comments.
  *
- * @param options Words are the name.
- * @param store The documents.
- * @returns What was put.
+ * @param options The positional is the name.
+ * @param store The document store.
+ * @returns The outcome of the write.
  */
 export function editCommand(
   options: CommandOptions,
@@ -261,12 +264,12 @@
 };
 
 /**
- * `drain SERVICE SCOPE NAME` and `undrain ...`: an edit of the document.
+ * `drain SERVICE SCOPE NAME` and `undrain ...`: edits the document's drains.
  *
- * @param options Words are service, scope and name.
- * @param store The documents.
- * @param shouldDrain Whether to drain or to take the drain back.
- * @returns What was put.
+ * @param options The positionals are service, scope and name.
+ * @param store The document store.
+ * @param shouldDrain Whether to add the drain or to remove it.
+ * @returns The outcome of the write.
  */
 export function drainCommand(
   options: CommandOptions,
@@ -299,15 +302,15 @@
 /**
  * `history NAME`: lists all versions.
  *
- * @param options Words are the name.
- * @param store The documents.
+ * @param options The positional is the name.
+ * @param store The document store.
  * @returns The versions.
  */
 export async function historyCommand(
-  { positionals: words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const versions = unwrap(await store.history(getDocumentKey(name)));
   const lines = versions.map(({ number, author, atMs }) =>
     `${number}\t${new Date(atMs).toISOString()}\t${author}`
@@ -322,24 +325,26 @@
 /**
  * `diff NAME [FROM [TO]]`: compares two versions, by default the last two.
  *
- * @param options Words are the name and two numbers.
- * @param store The documents.
- * @returns The difference.
+ * @param options The positionals are the name and two version numbers.
+ * @param store The document store.
+ * @returns A unified diff.
  */
 export async function diffCommand(
-  { positionals: words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const versions = unwrap(await store.history(getDocumentKey(name)));
   const newest = versions.length;
-  const to = Number(words[2] ?? newest);
-  const from = Number(words[1] ?? to - 1);
+  const to = Number(positionals[2] ?? newest);
+  const from = Number(positionals[1] ?? to - 1);
   const textOf = (number: number) => {
     if (number === 0) return "";
     const found = versions.find((version) => version.number === number);
     if (found) return found.text;
-    throw usageError(`${name} has no version ${number}; newest is ${newest}`);
+    throw usageError(
+      `${name} has no version ${number}; newest is ${newest}`,
+    );
   };
   const patch = createTwoFilesPatch(
     `${name} ${from}`,
@@ -350,7 +355,7 @@
   return { text: patch, json: { name, from, to, patch }, exitCode: 0 };
 }
 
-/** Throws the error of a failed call to the platform. */
+/** @throws StepError of a failed call to the platform. */
 function unwrap<T>(result: Result<T, StepError>): T {
   if (result.isErr()) throw result.error;
   return result.value;
--- a/src/operator/live.ts
+++ b/src/operator/live.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that ask running daemons.
+ * Commands that query running daemons.
  *
  * @module
  */
@@ -62,10 +62,10 @@
 }
 
 /**
- * `status`: documents in force, failure domains and members, as one steer sees
- * them.
+ * `status`: documents in force, failure domains and members, in the local view of
+ * one steer.
  *
- * @param options Where to ask.
+ * @param options Operator address and key.
  * @returns The status.
  */
 export async function statusCommand(
@@ -75,7 +75,7 @@
   const lines = [
     `${status.id}: rows through version ${status.throughVersion}, table ` +
     (status.tableAgeMs === null
-      ? "never read from here"
+      ? "never read by this process"
       : `read ${status.tableAgeMs} ms ago`),
     ...status.documents.map(({ name, number }) =>
       `document ${name}: version ${number}`
@@ -92,11 +92,11 @@
 }
 
 /**
- * `watch NAME NUMBER`: waits until a version is in force everywhere that can be
- * heard from one steer.
+ * `watch NAME NUMBER`: waits until a version is in force at all daemons that
+ * one steer has reports of.
  *
- * @param options Words are name and number.
- * @returns How many daemons have it.
+ * @param options The positionals are name and version number.
+ * @returns The number of daemons that have applied it.
  */
 export async function watchCommand(
   options: CommandOptions,
@@ -120,7 +120,10 @@
   }
 }
 
-/** A domain's daemons count as a whole once its lowest version is enough. */
+/**
+ * Counts daemons that have applied a version. All daemons of a failure domain
+ * count once its lowest version is new enough, else those that aren't behind.
+ */
 function countInForce(
   status: StatusAnswer,
   name: string,
@@ -139,9 +142,9 @@
 }
 
 /**
- * `dump ADDRESS`: the whole state of one process.
+ * `dump ADDRESS`: prints the complete state of one process.
  *
- * @param options Words are its operator address.
+ * @param options The positional is its operator address.
  * @returns The state.
  */
 export async function dumpCommand(
@@ -157,10 +160,10 @@
 }
 
 /**
- * `lookup SERVICE CLIENT_IP`: asks a steer as a caller would.
+ * `lookup SERVICE CLIENT_IP`: queries a steer as a caller would.
  *
- * @param options Words are service and client.
- * @returns The answer.
+ * @param options The positionals are service and client IP.
+ * @returns The answer; failure if the steer refused the look-up.
  */
 export async function lookupCommand(
   options: CommandOptions,
--- a/src/operator/routes.ts
+++ b/src/operator/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The operator address of every daemon: state dump and status.
+ * HTTP routes of a daemon's operator address: state dump and status.
  *
  * @module
  */
@@ -13,16 +13,18 @@
   sendJson,
 } from "../runtime/http_server.ts";
 
-/** What the operator address shows. */
+/** Options of the operator address. */
 export interface OperatorServerOptions {
+  /** Address to listen on, `host:port`. */
   address: string;
+  /** Key that requests must carry. */
   key: string;
   agent: ControlAgent;
-  /** State of the process's slices, by name. */
+  /** @returns State of the process's components, by name. */
   dump(): Record<string, unknown>;
 }
 
-/** A document's version in force. */
+/** Version of a document in force. */
 export interface DocumentStatus {
   name: string;
   number: number;
@@ -32,7 +34,9 @@
 /** Answer of `/v1/status`. */
 export interface StatusAnswer {
   id: string;
+  /** Version up to which the replica is complete. */
   throughVersion: number;
+  /** Time since the last read of the table; null if there was none. */
   tableAgeMs: number | null;
   documents: DocumentStatus[];
   members: {
@@ -44,15 +48,16 @@
   domains: {
     failureDomain: string;
     members: number;
+    /** Lowest version that all members have in force. */
     lowestVersion: number;
     behindCount: number;
   }[];
 }
 
 /**
- * Opens the operator address.
+ * Serves the operator address.
  *
- * @param options See there.
+ * @param options Address, key and state to serve.
  * @returns The listening server.
  */
 export function serveOperatorApi(
@@ -74,9 +79,11 @@
   return listen(router, address);
 }
 
-/** What the process has used since it started. */
+/** Resource usage of a process. */
 export interface ProcessUsage {
+  /** CPU time since the start. */
   cpuMs: number;
+  /** Resident set size. */
   rssBytes: number;
   uptimeS: number;
 }
