--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,5 +1,5 @@
 /**
- * Ways of keeping limits over all VMs, on the same loads.
+ * Compares strategies for enforcing rate limits across all VMs on the same loads.
  *
  * @module
  */
@@ -13,13 +13,13 @@
 } from "../src/limits/model/simulation.ts";
 import { publish, type Row } from "./report.ts";
 
-const WAYS: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
+const STRATEGIES: readonly LimitStrategy[] = ["equal_parts", "shared_usage"];
 const FLEETS = [{ vms: 9, ratePerS: 25 }, { vms: 60, ratePerS: 25 }, {
   vms: 60,
   ratePerS: 200,
 }];
 
-/** Plays each load of each fleet in each way. */
+/** Simulates every load of every fleet with every strategy. */
 export function benchLimits(): void {
   const rows: Row[] = [];
   for (const { vms, ratePerS } of FLEETS) {
@@ -29,13 +29,13 @@
         ratePerS: scenario.ratePerS,
         load: scenario.name,
       };
-      for (const way of WAYS) {
-        const { servedShare, maxBoundRatio: mostOfBound } = simulateLimits(
-          way,
+      for (const strategy of STRATEGIES) {
+        const { servedShare, maxBoundRatio } = simulateLimits(
+          strategy,
           scenario,
         );
-        row[`${way}: served`] = Number(servedShare.toFixed(3));
-        row[`${way}: most`] = Number(mostOfBound.toFixed(3));
+        row[`${strategy}: served`] = Number(servedShare.toFixed(3));
+        row[`${strategy}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
@@ -43,7 +43,7 @@
   publish("limits", "Served of what is allowed, and most of the bound", rows);
 }
 
-const SERVER_WAYS: readonly LimitStrategy[] = [
+const SERVER_STRATEGIES: readonly LimitStrategy[] = [
   "ranked_senders",
   "equal_parts",
   "shared_usage",
@@ -56,21 +56,23 @@
 ];
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** Plays loads of a server with a rate limit, in each way. */
+/** Simulates loads of a server with a rate limit with every strategy. */
 export function benchServerLimits(): void {
   const rows: Row[] = [];
   for (const { vms, ratePerS } of SERVER_FLEETS) {
     for (const scenario of listServerScenarios(vms, ratePerS)) {
       const row: Row = { vms, ratePerS, load: scenario.name };
-      for (const way of SERVER_WAYS) {
-        const figures = SEEDS.map((seed) =>
-          simulateLimits(way, scenario, seed)
+      for (const strategy of SERVER_STRATEGIES) {
+        const results = SEEDS.map((seed) =>
+          simulateLimits(strategy, scenario, seed)
         );
-        const served = figures.reduce((sum, one) => sum + one.served, 0);
-        const allowed = figures.reduce((sum, one) => sum + one.allowed, 0);
-        const most = Math.max(...figures.map((one) => one.maxBoundRatio));
-        row[`${way}: served`] = Number((served / allowed).toFixed(3));
-        row[`${way}: most`] = Number(most.toFixed(3));
+        const served = results.reduce((sum, one) => sum + one.served, 0);
+        const allowed = results.reduce((sum, one) => sum + one.allowed, 0);
+        const maxBoundRatio = Math.max(
+          ...results.map((one) => one.maxBoundRatio),
+        );
+        row[`${strategy}: served`] = Number((served / allowed).toFixed(3));
+        row[`${strategy}: most`] = Number(maxBoundRatio.toFixed(3));
       }
       rows.push(row);
     }
--- a/bench/slopes/points.ts
+++ b/bench/slopes/points.ts
@@ -1,5 +1,5 @@
 /**
- * Measuring at several sizes, and the straight line through the points.
+ * Measures time and memory, and fits a line through values at several sizes.
  *
  * @module
  */
@@ -17,17 +17,20 @@
   value: number;
 }
 
-/** Least squares; the error is the largest miss as a share of the value. */
-function fit(points: readonly Point[]) {
+/** Fits a line by least squares; `error` is the largest relative residual. */
+function fitLine(points: readonly Point[]) {
   const n = points.length;
   const meanX = points.reduce((sum, { size }) => sum + size, 0) / n;
   const meanY = points.reduce((sum, { value }) => sum + value, 0) / n;
-  const over = points.reduce(
+  const covarianceSum = points.reduce(
     (sum, { size, value }) => sum + (size - meanX) * (value - meanY),
     0,
   );
-  const under = points.reduce((sum, { size }) => sum + (size - meanX) ** 2, 0);
-  const slope = over / under;
+  const varianceSum = points.reduce(
+    (sum, { size }) => sum + (size - meanX) ** 2,
+    0,
+  );
+  const slope = covarianceSum / varianceSum;
   const base = meanY - slope * meanX;
   const error = Math.max(
     ...points.map(({ size, value }) =>
@@ -38,13 +41,15 @@
 }
 
 /**
+ * Makes a table row with a linear fit.
+ *
  * @param what What was measured.
- * @param unit Its unit, and what it grows with.
- * @param points Values at sizes.
- * @returns The row of the table, with a straight line fitted.
+ * @param unit Unit of the values, and the unit of the size.
+ * @param points Measured values by size.
+ * @returns The row.
  */
 export function makeRow(what: string, unit: string, points: Point[]): Row {
-  const { slope, base, error } = fit(points);
+  const { slope, base, error } = fitLine(points);
   process.stderr.write(`  ${what}\n`);
   return {
     what,
@@ -57,8 +62,15 @@
   };
 }
 
-/** @returns Microseconds that a call takes, the best of three runs. */
-export function timeUs(calls: number, run: (index: number) => void): number {
+/**
+ * @param calls Calls per round.
+ * @param run Function to measure.
+ * @returns Time per call in us, the best of three rounds.
+ */
+export function measureTimeUs(
+  calls: number,
+  run: (index: number) => void,
+): number {
   let best = Infinity;
   for (let round = 0; round < 3; round++) {
     const startMs = performance.now();
@@ -68,20 +80,23 @@
   return best;
 }
 
-/** @returns Bytes that what is made holds on to, buffers included. */
+/**
+ * @param make Creates the value to measure.
+ * @returns Bytes that the value retains, buffers included.
+ */
 export function measureBytes(make: () => unknown): number {
-  // What earlier measurements left behind must be gone before the first look.
+  // Garbage of earlier measurements must be collected before the first reading.
   make();
   collectGarbage();
   collectGarbage();
-  const used = () => {
+  const getUsedBytes = () => {
     const { heapUsed, arrayBuffers } = process.memoryUsage();
     return heapUsed + arrayBuffers;
   };
-  const before = used();
-  const made = make();
+  const before = getUsedBytes();
+  const retained = make();
   collectGarbage();
-  const bytes = used() - before;
-  if (made === undefined) throw new Error("Nothing was made");
+  const bytes = getUsedBytes() - before;
+  if (retained === undefined) throw new Error("Nothing was made");
   return bytes;
 }
--- a/bench/slopes/state.ts
+++ b/bench/slopes/state.ts
@@ -1,5 +1,5 @@
 /**
- * Memory of what processes hold.
+ * Measures the memory of the state that processes hold.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 import { createMembershipState } from "../../src/membership/state.ts";
 import { applyChanges, createReplicaState } from "../../src/replica/logic.ts";
 import type { Row } from "../report.ts";
-import { makeRow, measureBytes, timeUs } from "./points.ts";
+import { makeRow, measureBytes, measureTimeUs } from "./points.ts";
 import { makeMember } from "./members.ts";
 
-/** @returns Rows of what processes hold. */
+/** @returns Results for state. */
 export function measureState(): Row[] {
   const members = [100, 500, 1_300, 2_600];
   const fill = (size: number) => {
@@ -40,7 +40,10 @@
       "us, against members",
       members.map((size) => {
         const state = fill(size);
-        return { size, value: timeUs(50, () => void observeMembers(state, 1)) };
+        return {
+          size,
+          value: measureTimeUs(50, () => void observeMembers(state, 1)),
+        };
       }),
     ),
     makeRow(
--- a/bench/steering/world.ts
+++ b/bench/steering/world.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment under a scenario: demand, capacity, and what is served.
+ * Simulates a deployment under a scenario: demand, capacity and served requests.
  *
  * @module
  */
@@ -17,29 +17,30 @@
 export const STEP_MS = 500;
 /** Client blocks of each region. */
 export const BLOCKS_PER_REGION = 400;
-/** Latency is taken from each so many steps. */
-export const LATENCY_EVERY = 20;
-/** Service time of a cold server, as a multiple. */
+/** Steps between two latency samples. */
+export const LATENCY_SAMPLE_STEPS = 20;
+/** Factor on the service time of a cold server. */
 export const COLD_FACTOR = 3;
-/** Time that a place stays cold, in ms. */
+/** Time that a region stays cold, in ms. */
 export const COLD_MS = 15_000;
 /** Wall-clock time at the start, in ms since the epoch. */
 export const WALL_START_MS = 1_700_000_000_000;
 
-/** One service under one deployment. */
+/** One service of a deployment. */
 export interface Site {
   document: ServiceDocument;
   fleet: FleetDocument;
   regionOf: Map<string, string>;
-  /** Requests a second by region, at factor 1. */
+  /** Requests per second by region, at demand factor 1. */
   demand: Record<string, number>;
+  /** Share of the deployment's requests. */
   weight: number;
 }
 
-/** A way to steer. */
+/** A steering strategy. */
 export type Strategy = "steering" | "naive" | "omniscient";
 
-/** A site under a scenario and a way to steer. */
+/** State of the simulation of a service under a scenario and a strategy. */
 export interface World {
   site: Site;
   scenario: Scenario;
@@ -48,11 +49,11 @@
   plan: Plan | undefined;
   follower: ReturnType<typeof createFollower>;
   coldUntilMs: Map<string, number>;
-  /** Requests a second by region, as measured at each step. */
+  /** Requests per second by region, as measured at each step. */
   measured: Record<string, number>[];
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface RunResult {
   inTimeShare: number;
   lowestHeadroom: number;
@@ -63,8 +64,8 @@
   latency: number[];
 }
 
-/** @returns Requests a second that a region can serve now. */
-export function capacityOf(
+/** @returns Requests per second that a region can serve now. */
+export function getCapacityPerS(
   world: World,
   region: string,
   nowMs: number,
@@ -79,13 +80,17 @@
   return slots * 1_000 / serviceMs;
 }
 
-/** @returns Requests a second of a region's callers. */
-export function demandAt(world: World, region: string, nowMs: number): number {
+/** @returns Requests per second of a region's callers. */
+export function getDemandPerS(
+  world: World,
+  region: string,
+  nowMs: number,
+): number {
   return world.site.demand[region] * world.scenario.demandFactor(nowMs);
 }
 
-/** What one step came to, in requests a second. */
-export interface Served {
+/** Result of one step, in requests per second. */
+export interface StepResult {
   offered: number;
   inTime: number;
   allowed: number;
@@ -94,14 +99,25 @@
   latency: number[];
 }
 
-/** @returns What is served of what arrives. */
-export function serve(world: World, nowMs: number, places: string[][]): Served {
+/**
+ * Serves the requests of one step.
+ *
+ * @param world State of the simulation.
+ * @param nowMs Time of the step.
+ * @param places Region of each block, by the caller's region.
+ * @returns What was offered and served.
+ */
+export function serve(
+  world: World,
+  nowMs: number,
+  places: string[][],
+): StepResult {
   const { site: { document, fleet }, strategy } = world;
   const arriving = new Map<string, number>();
   const crossing = new Map<string, number>();
   let offered = 0;
   document.regions.forEach((caller, index) => {
-    const perBlock = demandAt(world, caller, nowMs) / BLOCKS_PER_REGION;
+    const perBlock = getDemandPerS(world, caller, nowMs) / BLOCKS_PER_REGION;
     for (const place of places[index]) {
       offered += perBlock;
       arriving.set(place, (arriving.get(place) ?? 0) + perBlock);
@@ -115,35 +131,38 @@
   let headroom = 1;
   let capacityAll = 0;
   for (const region of document.regions) {
-    const capacity = capacityOf(world, region, nowMs);
+    const capacity = getCapacityPerS(world, region, nowMs);
     const wanted = arriving.get(region) ?? 0;
     capacityAll += capacity;
-    // Admission holds back what a place can't serve; the naive has none.
+    // Admission control refuses the excess; the naive strategy has none.
     const carried = strategy === "naive" ? wanted : Math.min(wanted, capacity);
     headroom = Math.min(headroom, capacity > 0 ? 1 - carried / capacity : 1);
-    // Without admission, an overloaded place answers nearly all of it late.
+    // Without admission control, an overloaded region answers nearly all late.
     const isCollapsed = strategy === "naive" && wanted > capacity * 1.05;
     inTime += isCollapsed ? capacity * 0.05 : Math.min(wanted, capacity);
   }
-  const takesLatency = nowMs / STEP_MS % LATENCY_EVERY === 0;
+  const recordsLatency = nowMs / STEP_MS % LATENCY_SAMPLE_STEPS === 0;
   document.regions.forEach((caller, index) => {
-    if (!takesLatency) return;
+    if (!recordsLatency) return;
     for (const place of places[index]) {
-      const capacity = capacityOf(world, place, nowMs);
-      const use = Math.min(0.97, (arriving.get(place) ?? 0) / capacity);
+      const capacity = getCapacityPerS(world, place, nowMs);
+      const utilization = Math.min(0.97, (arriving.get(place) ?? 0) / capacity);
       if (capacity === 0) continue;
-      const wayMs = 2 * getDelayMs(fleet, caller, place);
-      latency.push(wayMs + document.expectedServiceMs / (1 - use * use));
+      const roundTripMs = 2 * getDelayMs(fleet, caller, place);
+      latency.push(
+        roundTripMs +
+          document.expectedServiceMs / (1 - utilization * utilization),
+      );
     }
   });
   const limit = fleet.links[0]?.limitBytesPerS ?? Infinity;
-  const most = Math.max(0, ...crossing.values());
+  const maxLinkBytesPerS = Math.max(0, ...crossing.values());
   return {
     offered,
     inTime,
     allowed: Math.min(offered, capacityAll),
     headroom,
-    linkHeadroom: 1 - most / limit,
+    linkHeadroom: 1 - maxLinkBytesPerS / limit,
     latency,
   };
 }
@@ -161,13 +180,13 @@
   );
 }
 
-/** Places whose traffic grew by a tenth within a second are cold for a while. */
-export function noteCold(
+/** Marks regions as cold whose traffic grew by more than 10% within a second. */
+export function recordColdRegions(
   world: World,
   nowMs: number,
   history: string[][][],
 ): void {
-  if (!world.scenario.cold || history.length < 3) return;
+  if (!world.scenario.hasColdStarts || history.length < 3) return;
   const count = (places: string[][], region: string) =>
     places.flat().filter((place) => place === region).length;
   for (const region of world.site.document.regions) {
@@ -188,7 +207,7 @@
   let moved = 0;
   let all = 0;
   world.site.document.regions.forEach((caller, index) => {
-    const perBlock = demandAt(world, caller, nowMs);
+    const perBlock = getDemandPerS(world, caller, nowMs);
     after[index].forEach((place, block) => {
       all += perBlock;
       if (before[index][block] !== place) moved += perBlock;
--- a/src/bin/hawthorngw_explain.ts
+++ b/src/bin/hawthorngw_explain.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * Tells from gateways' log lines why requests were late, refused or lost.
+ * `hawthorngw-explain`: finds from log lines of gateways why requests were late,
+ * refused or lost.
  *
  * @module
  */
@@ -8,23 +9,23 @@
 import process from "node:process";
 import { createInterface } from "node:readline";
 import { parseArgs } from "node:util";
-import { renderBeliefs } from "../explain/beliefs.ts";
-import { renderEnds } from "../explain/ends.ts";
-import { gatherLines } from "../explain/lines.ts";
+import { renderEstimates } from "../explain/estimates.ts";
+import { renderCrashes } from "../explain/crashes.ts";
+import { parseLogLines } from "../explain/lines.ts";
 import { renderMoves, renderTable } from "../explain/report.ts";
 import { EXIT_CODES } from "../runtime/process.ts";
 
 const USAGE = `hawthorngw-explain FILE... [--request ID] [--max-shift SHARE]
 
-Reads log lines of gateways and prints what became of requests: by 2 s window,
-by region, by service; the largest moves of shares; and by service how right
-gateways were about the load and the memory of servers; and under which requests
-servers ended.
+Reads log lines of gateways and prints the outcomes of requests by 2 s window,
+region and service; the largest traffic shifts; by service, how accurately
+gateways estimated the load and the caches of servers; and the requests during
+which servers crashed.
 
-  --request ID        all lines of one request instead, in order
-  --max-shift SHARE   bound on shifts to show beside the moves (0.15)
+  --request ID        print all lines of one request instead, in order
+  --max-shift SHARE   shift cap to print beside the largest shifts (0.15)
 `;
-/** The bound of deployments so far. */
+/** Shift cap of the deployments in use. */
 const DEFAULT_MAX_SHIFT = "0.15";
 
 function readArguments() {
@@ -59,11 +60,11 @@
 }
 const lines = await readLines(positionals);
 if (values.request !== undefined) {
-  const wanted = `"${values.request}"`;
-  const own = lines.filter((line) => line.includes(wanted));
-  process.stdout.write(`${own.join("\n")}\n`);
+  const quotedId = `"${values.request}"`;
+  const matching = lines.filter((line) => line.includes(quotedId));
+  process.stdout.write(`${matching.join("\n")}\n`);
 } else {
-  const content = gatherLines(lines);
+  const content = parseLogLines(lines);
   let firstMs = Infinity;
   for (const { end } of content.requests.values()) {
     if (end !== undefined) firstMs = Math.min(firstMs, end.time - end.tookMs);
@@ -72,9 +73,9 @@
     renderTable(content, kind, firstMs)
   );
   const moves = renderMoves(content.moves, Number(values["max-shift"]));
-  const beliefs = renderBeliefs(content);
-  const ends = renderEnds(content, firstMs);
+  const estimates = renderEstimates(content);
+  const crashes = renderCrashes(content, firstMs);
   process.stdout.write(
-    `${[...tables, moves, beliefs, ends].join("\n\n")}\n`,
+    `${[...tables, moves, estimates, crashes].join("\n\n")}\n`,
   );
 }
--- a/src/caller/lookup_cache.ts
+++ b/src/caller/lookup_cache.ts
@@ -1,6 +1,6 @@
 /**
- * Asks steers which entries to use, and keeps their answers for their time to
- * live.
+ * Queries steers for the entries to use, and caches their answers for their time
+ * to live.
  *
  * @module
  */
@@ -10,34 +10,34 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Random } from "../runtime/random.ts";
 
-/** Answers are given up to this share earlier, so that callers spread. */
-const JITTER_SHARE = 0.2;
-/** Answers kept at most. */
-const MAX_ANSWERS = 50_000;
+/** Answers expire up to this share earlier, to spread the callers' queries. */
+const EXPIRY_JITTER_SHARE = 0.2;
+/** Cached answers at most; the cache is cleared when it is reached. */
+const MAX_CACHED_ANSWERS = 50_000;
 const LOOKUP_TIMEOUT_MS = 1_000;
 
-/** What is looked up. */
-export interface LookupQuestion {
+/** Key of a look-up. */
+export interface LookupQuery {
   service: string;
   clientIp: string;
 }
 
-/** Answers to look-ups. */
+/** Cache of look-ups. */
 export interface LookupCache {
-  /** @returns The answer, or why there is none. */
-  find(question: LookupQuestion): Promise<LookupAnswer | { reason: string }>;
-  /** Drops an answer whose entries have failed. */
-  forget(question: LookupQuestion): void;
+  /** @returns The answer, or the reason why there is none. */
+  find(query: LookupQuery): Promise<LookupAnswer | { reason: string }>;
+  /** Removes an answer, after an entry of it has failed. */
+  invalidate(query: LookupQuery): void;
 }
 
-interface KeptAnswer {
+interface CachedAnswer {
   answer: LookupAnswer;
   expiresMs: number;
 }
 
-/** What the cache needs. */
+/** Dependencies of the cache. */
 export interface LookupCacheOptions {
-  /** Callers' addresses of steers; the first that answers is used. */
+  /** Caller addresses of steers; the first that answers is used. */
   steers: readonly string[];
   clock: Clock;
   random: Random;
@@ -45,28 +45,30 @@
 }
 
 /**
- * @param options See there.
- * @returns An empty cache.
+ * Creates an empty cache.
+ *
+ * @param options Dependencies.
+ * @returns The cache.
  */
 export function createLookupCache(options: LookupCacheOptions): LookupCache {
   const { steers, clock, random, agent } = options;
-  const kept = new Map<string, KeptAnswer>();
-  let preferred = 0;
+  const cachedAnswers = new Map<string, CachedAnswer>();
+  let preferredIndex = 0;
 
-  function keyOf({ service, clientIp }: LookupQuestion): string {
+  function makeCacheKey({ service, clientIp }: LookupQuery): string {
     return `${service} ${clientIp}`;
   }
 
-  function keep(question: LookupQuestion, answer: LookupAnswer): void {
-    if (kept.size >= MAX_ANSWERS) kept.clear();
-    const lifeMs = answer.ttlMs * (1 - JITTER_SHARE * random());
-    const expiresMs = clock.monotonicMs() + lifeMs;
-    kept.set(keyOf(question), { answer, expiresMs });
+  function store(query: LookupQuery, answer: LookupAnswer): void {
+    if (cachedAnswers.size >= MAX_CACHED_ANSWERS) cachedAnswers.clear();
+    const lifetimeMs = answer.ttlMs * (1 - EXPIRY_JITTER_SHARE * random());
+    const expiresMs = clock.monotonicMs() + lifetimeMs;
+    cachedAnswers.set(makeCacheKey(query), { answer, expiresMs });
   }
 
-  async function ask(
+  async function querySteer(
     steer: string,
-    { service, clientIp }: LookupQuestion,
+    { service, clientIp }: LookupQuery,
   ): Promise<LookupAnswer | { reason: string; final: boolean }> {
     const path = `/v1/lookup/${encodeURIComponent(service)}?client=${clientIp}`;
     try {
@@ -85,16 +87,16 @@
   }
 
   return {
-    async find(question) {
-      const known = kept.get(keyOf(question));
-      if (known && known.expiresMs > clock.monotonicMs()) return known.answer;
-      let reason = "No steer is known";
+    async find(query) {
+      const found = cachedAnswers.get(makeCacheKey(query));
+      if (found && found.expiresMs > clock.monotonicMs()) return found.answer;
+      let reason = "No steer is configured";
       for (let tried = 0; tried < steers.length; tried++) {
-        const index = (preferred + tried) % steers.length;
-        const answer = await ask(steers[index], question);
+        const index = (preferredIndex + tried) % steers.length;
+        const answer = await querySteer(steers[index], query);
         if ("entries" in answer) {
-          preferred = index;
-          keep(question, answer);
+          preferredIndex = index;
+          store(query, answer);
           return answer;
         }
         reason = answer.reason;
@@ -102,6 +104,6 @@
       }
       return { reason };
     },
-    forget: (question) => void kept.delete(keyOf(question)),
+    invalidate: (query) => void cachedAnswers.delete(makeCacheKey(query)),
   };
 }
--- a/src/explain/report.ts
+++ b/src/explain/report.ts
@@ -1,42 +1,44 @@
 /**
- * Tables of what became of requests, by moment, region and service.
+ * Tables of outcomes of requests by time window, region and service.
  *
  * @module
  */
-import { type Cause, CAUSES, findCause, type UsualTimes } from "./causes.ts";
+import { type Cause, CAUSES, findCause, type MedianTimes } from "./causes.ts";
 import type { LogContent, MoveLine, RequestLines } from "./lines.ts";
 import { renderRows } from "./rows.ts";
 
-/** Width of a window, as the bounds on shifts count. */
+/** Width of a window, the one that the shift cap applies to. */
 const WINDOW_MS = 2_000;
 
-/** What requests are counted by. */
+/** Criterion by which requests are grouped. */
 export type GroupKind = "window" | "service" | "region";
 
 type Counts = Map<Cause, number>;
 
 /**
- * @param content What a log tells.
- * @param kind What to count by.
- * @param firstMs Time of the first window.
- * @returns A table: a line for each group, a column for each cause that came.
+ * Counts the causes of outcomes in each group of requests.
+ *
+ * @param content Parsed logs.
+ * @param kind Criterion by which requests are grouped.
+ * @param firstMs Start of the first window, in ms.
+ * @returns A table with a row for each group and a column for each cause found.
  */
 export function renderTable(
   content: LogContent,
   kind: GroupKind,
   firstMs: number,
 ): string {
-  const usual = createUsualTimes(content);
+  const medians = createMedianTimes(content);
   const groups = new Map<string, Counts>();
   for (const request of content.requests.values()) {
     if (request.end === undefined) continue;
-    const group = nameGroup(request, kind, firstMs);
+    const group = getGroupName(request, kind, firstMs);
     const counts = groups.get(group) ?? new Map();
-    const cause = findCause(request, usual);
+    const cause = findCause(request, medians);
     counts.set(cause, (counts.get(cause) ?? 0) + 1);
     groups.set(group, counts);
   }
-  const seen = CAUSES.filter((cause) =>
+  const causes = CAUSES.filter((cause) =>
     [...groups.values()].some((counts) => counts.has(cause))
   );
   const names = [...groups.keys()].sort((a, b) =>
@@ -44,15 +46,17 @@
   );
   const rows = names.map((name) => [
     name,
-    ...seen.map((cause) => String(groups.get(name)?.get(cause) ?? 0)),
+    ...causes.map((cause) => String(groups.get(name)?.get(cause) ?? 0)),
   ]);
-  return renderRows([[kind, ...seen], ...rows]);
+  return renderRows([[kind, ...causes], ...rows]);
 }
 
 /**
- * @param moves Moves of shares.
- * @param maxShift Largest share that may change region between windows.
- * @returns By service, the largest move of a VM's shares in a window.
+ * Finds the largest shift of each service.
+ *
+ * @param moves Shifts of traffic; those after a loss are left out.
+ * @param maxShift Largest share that may change region within a window.
+ * @returns A table of the largest share that a VM moved in a window.
  */
 export function renderMoves(
   moves: readonly MoveLine[],
@@ -78,7 +82,7 @@
   ]);
 }
 
-function nameGroup(
+function getGroupName(
   { end, choices }: RequestLines,
   kind: GroupKind,
   firstMs: number,
@@ -89,8 +93,8 @@
   return String(Math.floor(startMs / WINDOW_MS) * WINDOW_MS / 1_000);
 }
 
-/** Medians of answered attempts that were not the first for their object. */
-function createUsualTimes({ requests }: LogContent): UsualTimes {
+/** @returns Medians of answered attempts that were not cache misses. */
+function createMedianTimes({ requests }: LogContent): MedianTimes {
   const byService = new Map<string, number[]>();
   const byServer = new Map<string, number[]>();
   const add = (map: Map<string, number[]>, key: string, tookMs: number) => {
@@ -102,17 +106,17 @@
     for (const { outcome, isFirst, server, tookMs, time } of attempts) {
       if (outcome !== "answer" || isFirst) continue;
       add(byService, choices[0]?.service ?? "none", tookMs);
-      add(byServer, nameMoment(server, time), tookMs);
+      add(byServer, makeSecondKey(server, time), tookMs);
     }
   }
   return {
-    ofService: (service) => getMedian(byService.get(service) ?? []),
-    ofServer: (server, time) =>
-      getMedian(byServer.get(nameMoment(server, time)) ?? []),
+    serviceMedianMs: (service) => getMedian(byService.get(service) ?? []),
+    serverMedianMs: (server, time) =>
+      getMedian(byServer.get(makeSecondKey(server, time)) ?? []),
   };
 }
 
-function nameMoment(server: string, time: number): string {
+function makeSecondKey(server: string, time: number): string {
   return `${server} ${Math.floor(time / 1_000)}`;
 }
 
--- a/src/operator/documents.ts
+++ b/src/operator/documents.ts
@@ -20,30 +20,36 @@
 import { EXIT_CODES } from "../runtime/process.ts";
 import { type CommandOptions, requireValue, usageError } from "./arguments.ts";
 
-/** What a command prints and how it exits. */
+/** Output and exit code of a command. */
 export interface CommandResult {
-  /** For a person. */
+  /** Human-readable output. */
   text: string;
-  /** For `--json`. */
+  /** Output of `--json`. */
   json: unknown;
   exitCode: number;
 }
 
 const FORMATTING = { formattingOptions: { insertSpaces: true, tabSize: 2 } };
 
-/** @returns Key of the row of a document's name: `fleet` or a service. */
+/**
+ * @param name `fleet` or the name of a service.
+ * @returns Key of the table row that stores the document.
+ */
 export function getDocumentKey(name: string): string {
   return name === "fleet" ? FLEET_KEY : getServiceKey(name);
 }
 
-/** The document's name is its `service` field; the fleet's has none. */
-function getNameOf(text: string): string {
+/** @returns The `service` field, or `fleet` for a document without one. */
+function getDocumentName(text: string): string {
   const value = parse(text) as { service?: unknown } | undefined;
   return typeof value?.service === "string" ? value.service : "fleet";
 }
 
-function check(source: DocumentSource, fleet: FleetDocument | undefined) {
-  return getNameOf(source.text) === "fleet"
+function checkDocument(
+  source: DocumentSource,
+  fleet: FleetDocument | undefined,
+) {
+  return getDocumentName(source.text) === "fleet"
     ? checkFleet(source)
     : checkService(source, fleet);
 }
@@ -66,22 +72,22 @@
 }
 
 /**
- * `check FILE...`: checks documents without putting them.
+ * `check FILE...`: checks documents without writing them.
  *
- * @param options Words are files.
- * @param store Where the fleet document is read, if it can be.
+ * @param options The positionals are files.
+ * @param store Store to read the fleet document from, if there is one.
  * @returns Problems and warnings.
  */
 export async function checkCommand(
-  { words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore | undefined,
 ): Promise<CommandResult> {
-  if (words.length === 0) throw usageError("FILE is missing");
+  if (positionals.length === 0) throw usageError("FILE is missing");
   const fleet = store && await readFleet(store);
   const problems: DocumentProblem[] = [];
   const warnings: DocumentProblem[] = [];
-  for (const file of words) {
-    check({ file, text: readFile(file) }, fleet).match(
+  for (const file of positionals) {
+    checkDocument({ file, text: readFile(file) }, fleet).match(
       (checked) => warnings.push(...checked.warnings),
       (found) => problems.push(...found),
     );
@@ -100,15 +106,15 @@
 /**
  * `get NAME`: prints a document with its row version.
  *
- * @param options Words are the name.
- * @param store The documents.
+ * @param options The positional is the name.
+ * @param store The document store.
  * @returns The document.
  */
 export async function getCommand(
-  { words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const read = unwrap(await store.read(getDocumentKey(name)));
   if (read.stored === undefined) throw usageError(`No document "${name}"`);
   return {
@@ -119,20 +125,20 @@
 }
 
 /**
- * `put FILE... [--from VERSION]`: checks and puts documents. Without `--from`
- * the newest version is taken as what they were edited from.
+ * `put FILE... [--from VERSION]`: checks and writes documents. Without `--from`
+ * they count as edited from the newest version. Stops at the first refusal.
  *
- * @param options Words are files.
- * @param store The documents.
- * @returns What was put.
+ * @param options The positionals are files.
+ * @param store The document store.
+ * @returns The outcome for each file.
  */
 export async function putCommand(
   options: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  if (options.words.length === 0) throw usageError("FILE is missing");
+  if (options.positionals.length === 0) throw usageError("FILE is missing");
   const results: CommandResult[] = [];
-  for (const file of options.words) {
+  for (const file of options.positionals) {
     const text = readFile(file);
     const result = await putText({ file, text }, options, store);
     results.push(result);
@@ -150,7 +156,7 @@
   { author, from }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const checked = check(source, await readFleet(store));
+  const checked = checkDocument(source, await readFleet(store));
   if (checked.isErr()) {
     return {
       text: checked.error.map((problem) => `error: ${formatProblem(problem)}`)
@@ -159,21 +165,21 @@
       exitCode: EXIT_CODES.usage,
     };
   }
-  const name = getNameOf(source.text);
+  const name = getDocumentName(source.text);
   const key = getDocumentKey(name);
   const editedFrom = from ?? unwrap(await store.read(key)).rowVersion;
   const { text } = source;
   const put = unwrap(
     await store.put({ key, text, author, baseRowVersion: editedFrom }),
   );
-  return describePut(put, {
+  return formatPutResult(put, {
     name,
     text,
     warnings: checked.value.warnings,
   });
 }
 
-function describePut(
+function formatPutResult(
   put: PutOutcome,
   { name, text, warnings }: {
     name: string;
@@ -199,7 +205,7 @@
   };
 }
 
-/** Changes a document's text and puts it, from the version read. */
+/** Reads a document, changes its text and writes it if nobody else has. */
 async function editText(
   name: string,
   options: CommandOptions,
@@ -216,29 +222,29 @@
 }
 
 /**
- * `edit NAME --set PATH=VALUE...`: changes fields, keeping comments.
+ * `edit NAME --set PATH=VALUE...`: changes fields and keeps comments.
  *
- * @param options Words are the name.
- * @param store The documents.
- * @returns What was put.
+ * @param options The positional is the name.
+ * @param store The document store.
+ * @returns The outcome of the write.
  */
 export function editCommand(
   options: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(options.words[0], "NAME");
+  const name = requireValue(options.positionals[0], "NAME");
   if (options.set.length === 0) throw usageError("--set PATH=VALUE is missing");
   return editText(name, options, {
     store,
     change: (text) =>
       options.set.reduce((edited, pair) => {
-        const { path, value } = parsePair(pair);
+        const { path, value } = parseAssignment(pair);
         return applyEdits(edited, modify(edited, path, value, FORMATTING));
       }, text),
   });
 }
 
-function parsePair(pair: string): { path: JSONPath; value: unknown } {
+function parseAssignment(pair: string): { path: JSONPath; value: unknown } {
   const at = pair.indexOf("=");
   if (at < 1) throw usageError(`"${pair}" is not PATH=VALUE`);
   const path = pair.slice(0, at).split(/[.[\]]+/).filter((part) => part !== "")
@@ -258,19 +264,19 @@
 };
 
 /**
- * `drain SERVICE SCOPE NAME` and `undrain ...`: an edit of the document.
+ * `drain SERVICE SCOPE NAME` and `undrain ...`: edits the document's drains.
  *
- * @param options Words are service, scope and name.
- * @param store The documents.
- * @param isDrained Whether to drain or to take the drain back.
- * @returns What was put.
+ * @param options The positionals are service, scope and name.
+ * @param store The document store.
+ * @param shouldDrain Whether to add the drain or to remove it.
+ * @returns The outcome of the write.
  */
 export function drainCommand(
   options: CommandOptions,
   store: DocumentStore,
-  isDrained: boolean,
+  shouldDrain: boolean,
 ): Promise<CommandResult> {
-  const [service, scopeWord, target] = options.words;
+  const [service, scopeWord, target] = options.positionals;
   const scope = SCOPES[requireValue(scopeWord, "SCOPE")];
   if (scope === undefined) {
     const allowed = Object.keys(SCOPES).join(", ");
@@ -285,7 +291,7 @@
         drain.scope !== scope || drain.name !== name
       );
       const { startsAt, endsAt } = options;
-      const next = isDrained
+      const next = shouldDrain
         ? [...others, { scope, name, startsAt, endsAt }]
         : others;
       return applyEdits(text, modify(text, ["drains"], next, FORMATTING));
@@ -296,15 +302,15 @@
 /**
  * `history NAME`: lists all versions.
  *
- * @param options Words are the name.
- * @param store The documents.
+ * @param options The positional is the name.
+ * @param store The document store.
  * @returns The versions.
  */
 export async function historyCommand(
-  { words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const versions = unwrap(await store.history(getDocumentKey(name)));
   const lines = versions.map(({ number, author, atMs }) =>
     `${number}\t${new Date(atMs).toISOString()}\t${author}`
@@ -319,24 +325,26 @@
 /**
  * `diff NAME [FROM [TO]]`: compares two versions, by default the last two.
  *
- * @param options Words are the name and two numbers.
- * @param store The documents.
- * @returns The difference.
+ * @param options The positionals are the name and two version numbers.
+ * @param store The document store.
+ * @returns A unified diff.
  */
 export async function diffCommand(
-  { words }: CommandOptions,
+  { positionals }: CommandOptions,
   store: DocumentStore,
 ): Promise<CommandResult> {
-  const name = requireValue(words[0], "NAME");
+  const name = requireValue(positionals[0], "NAME");
   const versions = unwrap(await store.history(getDocumentKey(name)));
   const newest = versions.length;
-  const to = Number(words[2] ?? newest);
-  const from = Number(words[1] ?? to - 1);
+  const to = Number(positionals[2] ?? newest);
+  const from = Number(positionals[1] ?? to - 1);
   const textOf = (number: number) => {
     if (number === 0) return "";
     const found = versions.find((version) => version.number === number);
     if (found) return found.text;
-    throw usageError(`${name} has no version ${number}; newest is ${newest}`);
+    throw usageError(
+      `${name} has no version ${number}; newest is ${newest}`,
+    );
   };
   const patch = createTwoFilesPatch(
     `${name} ${from}`,
@@ -347,7 +355,7 @@
   return { text: patch, json: { name, from, to, patch }, exitCode: 0 };
 }
 
-/** Throws the error of a failed call to the platform. */
+/** @throws StepError of a failed call to the platform. */
 function unwrap<T>(result: Result<T, StepError>): T {
   if (result.isErr()) throw result.error;
   return result.value;
--- a/src/operator/live.ts
+++ b/src/operator/live.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that ask running daemons.
+ * Commands that query running daemons.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 import type { CommandResult } from "./documents.ts";
 import type { StatusAnswer } from "./routes.ts";
 
-const TIMEOUT_MS = 3_000;
-const WATCH_PERIOD_MS = 200;
+const REQUEST_TIMEOUT_MS = 3_000;
+const WATCH_INTERVAL_MS = 200;
 
-async function ask(
+async function fetchJson(
   url: string,
   headers: Record<string, string> = {},
 ): Promise<{ status: number; body: unknown }> {
   try {
-    const signal = AbortSignal.timeout(TIMEOUT_MS);
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT_MS);
     const response = await request(url, { headers, signal });
     return { status: response.statusCode, body: await response.body.json() };
   } catch (cause) {
@@ -33,14 +33,14 @@
   }
 }
 
-async function askOperator(
+async function fetchOperatorJson(
   options: CommandOptions,
   address: string,
   path: string,
 ): Promise<unknown> {
   const key = requireValue(options.key, "--key or HAWTHORNGW_KEY");
   const url = `http://${address}${path}`;
-  const { status, body } = await ask(url, { [KEY_HEADER]: key });
+  const { status, body } = await fetchJson(url, { [KEY_HEADER]: key });
   if (status === 200) return body;
   throw new StepError((body as { detail?: string }).detail ?? String(status), {
     step: "operator.ask",
@@ -54,14 +54,18 @@
     options.operator,
     "--operator or HAWTHORNGW_OPERATOR",
   );
-  return await askOperator(options, address, "/v1/status") as StatusAnswer;
+  return await fetchOperatorJson(
+    options,
+    address,
+    "/v1/status",
+  ) as StatusAnswer;
 }
 
 /**
- * `status`: documents in force, failure domains and members, as one steer sees
- * them.
+ * `status`: documents in force, failure domains and members, in the local view of
+ * one steer.
  *
- * @param options Where to ask.
+ * @param options Operator address and key.
  * @returns The status.
  */
 export async function statusCommand(
@@ -71,7 +75,7 @@
   const lines = [
     `${status.id}: rows through version ${status.throughVersion}, table ` +
     (status.tableAgeMs === null
-      ? "never read from here"
+      ? "never read by this process"
       : `read ${status.tableAgeMs} ms ago`),
     ...status.documents.map(({ name, number }) =>
       `document ${name}: version ${number}`
@@ -88,17 +92,17 @@
 }
 
 /**
- * `watch NAME NUMBER`: waits until a version is in force everywhere that can be
- * heard from one steer.
+ * `watch NAME NUMBER`: waits until a version is in force at all daemons that
+ * one steer has reports of.
  *
- * @param options Words are name and number.
- * @returns How many daemons have it.
+ * @param options The positionals are name and version number.
+ * @returns The number of daemons that have applied it.
  */
 export async function watchCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const name = requireValue(options.words[0], "NAME");
-  const wanted = Number(requireValue(options.words[1], "NUMBER"));
+  const name = requireValue(options.positionals[0], "NAME");
+  const wanted = Number(requireValue(options.positionals[1], "NUMBER"));
   if (!Number.isInteger(wanted)) throw usageError("NUMBER is not a number");
   const endMs = Date.now() + options.timeoutS * 1_000;
   for (;;) {
@@ -112,11 +116,14 @@
         exitCode: isDone ? EXIT_CODES.ok : EXIT_CODES.failure,
       };
     }
-    await sleep(WATCH_PERIOD_MS);
+    await sleep(WATCH_INTERVAL_MS);
   }
 }
 
-/** A domain's daemons count as a whole once its lowest version is enough. */
+/**
+ * Counts daemons that have applied a version. All daemons of a failure domain
+ * count once its lowest version is new enough, else those that aren't behind.
+ */
 function countInForce(
   status: StatusAnswer,
   name: string,
@@ -128,23 +135,23 @@
   for (const domain of status.domains) {
     all += domain.members;
     if (document === undefined || document.number < wanted) continue;
-    const isWhole = domain.lowestVersion >= document.rowVersion;
-    have += isWhole ? domain.members : domain.members - domain.behindCount;
+    const isUpToDate = domain.lowestVersion >= document.rowVersion;
+    have += isUpToDate ? domain.members : domain.members - domain.behindCount;
   }
   return { have, all };
 }
 
 /**
- * `dump ADDRESS`: the whole state of one process.
+ * `dump ADDRESS`: prints the complete state of one process.
  *
- * @param options Words are its operator address.
+ * @param options The positional is its operator address.
  * @returns The state.
  */
 export async function dumpCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const address = requireValue(options.words[0], "ADDRESS");
-  const dump = await askOperator(options, address, "/v1/dump");
+  const address = requireValue(options.positionals[0], "ADDRESS");
+  const dump = await fetchOperatorJson(options, address, "/v1/dump");
   return {
     text: JSON.stringify(dump, null, 2),
     json: dump,
@@ -153,19 +160,19 @@
 }
 
 /**
- * `lookup SERVICE CLIENT_IP`: asks a steer as a caller would.
+ * `lookup SERVICE CLIENT_IP`: queries a steer as a caller would.
  *
- * @param options Words are service and client.
- * @returns The answer.
+ * @param options The positionals are service and client IP.
+ * @returns The answer; failure if the steer refused the look-up.
  */
 export async function lookupCommand(
   options: CommandOptions,
 ): Promise<CommandResult> {
-  const service = requireValue(options.words[0], "SERVICE");
-  const client = requireValue(options.words[1], "CLIENT_IP");
+  const service = requireValue(options.positionals[0], "SERVICE");
+  const client = requireValue(options.positionals[1], "CLIENT_IP");
   const steer = requireValue(options.steer, "--steer or HAWTHORNGW_STEER");
   const path = `/v1/lookup/${encodeURIComponent(service)}?client=${client}`;
-  const { status, body } = await ask(`http://${steer}${path}`);
+  const { status, body } = await fetchJson(`http://${steer}${path}`);
   return {
     text: JSON.stringify(body, null, 2),
     json: body,
