--- a/bench/steering/strategies.ts
+++ b/bench/steering/strategies.ts
@@ -99,11 +99,11 @@
     region,
     slots: getDemandPerS(world, region, nowMs) * serviceMs / 1_000,
   }));
-  const places = known.input.domainCapacities.map((place) => ({
+  const domainCapacities = known.input.domainCapacities.map((place) => ({
     ...place,
     slots: place.slots / (1 - document.headroomShare),
   }));
-  return { ...known, input: { ...known.input, demand, places } };
+  return { ...known, input: { ...known.input, demand, domainCapacities } };
 }
 
 /** Omniscient: uses actual demand and capacity, and spends the whole cap at once. */
--- a/src/serving/placer_test.ts
+++ b/src/serving/placer_test.ts
@@ -77,7 +77,7 @@
 test("a region whose servers all back off is skipped", () => {
   const permits = {
     ...makeUnlimitedPermits(),
-    holds: ({ id }: ListedServer) => id !== "bergen-1",
+    isValid: ({ id }: ListedServer) => id !== "bergen-1",
   };
   const placed = startPlacer(0, permits).place(
     makeProgress({ request: makeRequest({ homeRegions: ["bergen", "oslo"] }) }),
