--- a/src/caller/lookup_cache.ts
+++ b/src/caller/lookup_cache.ts
@@ -90,7 +90,7 @@
     async find(query) {
       const found = cachedAnswers.get(makeCacheKey(query));
       if (found && found.expiresMs > clock.monotonicMs()) return found.answer;
-      let reason = "No steer is configured";
+      let reason = "No steer is known";
       for (let tried = 0; tried < steers.length; tried++) {
         const index = (preferredIndex + tried) % steers.length;
         const answer = await querySteer(steers[index], query);
--- a/src/caller/mod.ts
+++ b/src/caller/mod.ts
@@ -107,7 +107,7 @@
   ): Promise<CallResult> {
     let key: string | undefined;
     let wasSent = false;
-    let reason = "The look-up named no entry";
+    let reason = "No entry was named";
     for (const entry of answer.entries) {
       const remainingMs = endMs - clock.monotonicMs();
       if (remainingMs <= 0) break;
