--- a/bench/steering/strategies.ts
+++ b/bench/steering/strategies.ts
@@ -99,9 +99,9 @@
     region,
     slots: getDemandPerS(world, region, nowMs) * serviceMs / 1_000,
   }));
-  const domainCapacities = known.input.domainCapacities.map((place) => ({
-    ...place,
-    slots: place.slots / (1 - document.headroomShare),
+  const domainCapacities = known.input.domainCapacities.map((domain) => ({
+    ...domain,
+    slots: domain.slots / (1 - document.headroomShare),
   }));
   return { ...known, input: { ...known.input, demand, domainCapacities } };
 }
--- a/src/gateway/core.ts
+++ b/src/gateway/core.ts
@@ -81,9 +81,9 @@
   /**
    * Sends facts of this VM to all other VMs.
    *
-   * @param items The facts.
+   * @param updates Updates of the facts.
    */
-  broadcastFacts: (items: FactUpdate[]) => void;
+  broadcastFacts: (updates: FactUpdate[]) => void;
 }
 
 /** The components that decide how requests are served. */
@@ -216,11 +216,11 @@
     log,
     ownId: self.id,
     quarantineSettings: settings.quarantine,
-    publish(items) {
-      const updates = factStore.apply(items);
-      if (updates.length > 0) options.broadcastFacts(updates);
+    publish(updates) {
+      const applied = factStore.apply(updates);
+      if (applied.length > 0) options.broadcastFacts(applied);
     },
-    forget: (items) => void factStore.apply(items),
+    forget: (updates) => void factStore.apply(updates),
   });
   factStore.subscribe(suspects.apply);
   const placer = createPlacer({
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -113,7 +113,7 @@
     factStore,
     freshness,
     getFleetDemand: () => mesh.getDemand(),
-    broadcastFacts: (items) => mesh.broadcastFacts(items),
+    broadcastFacts: (updates) => mesh.broadcastFacts(updates),
   });
   const metrics = createGatewayMetrics(
     core,
