--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -153,7 +153,7 @@
     self,
     table: memberTable,
     factStore,
-    knowledge: freshness,
+    freshness,
     needsProofs: () => {
       const routes = core.getRoutes();
       return routes === undefined || routes.accounts !== undefined;
--- a/src/members/hub_mesh_test.ts
+++ b/src/members/hub_mesh_test.ts
@@ -55,7 +55,7 @@
     self,
     table,
     factStore,
-    knowledge: createFreshnessTracker({ clock, getVersion: () => 0 }),
+    freshness: createFreshnessTracker({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
     registry,
     clock,
--- a/src/members/mesh.ts
+++ b/src/members/mesh.ts
@@ -44,7 +44,7 @@
   self: VmIdentity;
   table: MemberTable;
   factStore: FactStore;
-  knowledge: FreshnessTracker;
+  freshness: FreshnessTracker;
   /** @returns Whether anything depends on the age of the knowledge. */
   needsProofs: () => boolean;
   registry: VmRegistry;
--- a/src/members/mesh_test.ts
+++ b/src/members/mesh_test.ts
@@ -54,7 +54,7 @@
     self: makeIdentity("self", http.address),
     table: createMemberTable("self", clock),
     factStore,
-    knowledge: createFreshnessTracker({ clock, getVersion: () => 0 }),
+    freshness: createFreshnessTracker({ clock, getVersion: () => 0 }),
     needsProofs: () => false,
     registry: new EmptyRegistry(),
     clock,
--- a/src/members/proofs.ts
+++ b/src/members/proofs.ts
@@ -26,7 +26,7 @@
 export interface ProofSenderOptions {
   clock: Clock;
   links: LinkSet;
-  knowledge: FreshnessTracker;
+  freshness: FreshnessTracker;
   /** @returns Whether anything depends on the age of the knowledge. */
   isNeeded: () => boolean;
   /** @returns Whether this VM forwards proofs. */
@@ -85,7 +85,7 @@
  * @returns A sender without stored requests.
  */
 export function createProofSender(options: ProofSenderOptions): ProofSender {
-  const { clock, links, knowledge } = options;
+  const { clock, links, freshness: knowledge } = options;
   const lastRequests = new WeakMap<VmLink, StoredRequest>();
   let sentAtMs = -Infinity;
 
--- a/src/members/proofs_test.ts
+++ b/src/members/proofs_test.ts
@@ -22,7 +22,7 @@
   const sender = createProofSender({
     clock,
     links: createLinkSet(clock),
-    knowledge,
+    freshness: knowledge,
     isNeeded: () => true,
     isRelay: () => false,
   });
